--- a/bench/bench_scale.c
+++ b/bench/bench_scale.c
@@ -107,13 +107,13 @@
 static void op_route(void *arg, unsigned i)
 {
 	struct bench *b = arg;
-	const struct route_ask ask = { .prefix = &b->keys[i % 64],
-				       .prompt_tokens = 400,
-				       .max_tokens = 244 };
+	const struct route_query ask = { .prefix = &b->keys[i % 64],
+					 .prompt_tokens = 400,
+					 .max_tokens = 244 };
 	const struct route_choice c = route_choose(
 		b->table, b->prefix, &ask, &b->rnd, 1000 + i, NULL, NULL);
 
-	prefix_learn(b->prefix, &b->keys[i % 64], c.endpoint, 1000 + i);
+	prefix_insert(b->prefix, &b->keys[i % 64], c.endpoint, 1000 + i);
 	route_sent(route_find(b->table, c.endpoint), 1000 + i);
 	route_done(route_find(b->table, c.endpoint), 1000 + i);
 }
--- a/bench/fake_fleet.c
+++ b/bench/fake_fleet.c
@@ -40,7 +40,7 @@
 	unsigned i;
 
 	for (i = 0; i < r->key.nr && cached(e, r->key.block[i]); i++)
-		have += PREFIX_BLOCK / 4.0;
+		have += PREFIX_BLOCK_CHARS / 4.0;
 	return have < r->prompt_tokens ? r->prompt_tokens - have : 0;
 }
 
--- a/bench/policy_world.c
+++ b/bench/policy_world.c
@@ -39,8 +39,8 @@
 static void make_key(struct world *w, struct req *r, struct rnd *rnd)
 {
 	const struct account_shape *a = &w->d->a[r->account];
-	const unsigned blocks = r->prompt * 4 / PREFIX_BLOCK;
-	const unsigned shared = a->shared * 4 / PREFIX_BLOCK;
+	const unsigned blocks = r->prompt * 4 / PREFIX_BLOCK_CHARS;
+	const unsigned shared = a->shared * 4 / PREFIX_BLOCK_CHARS;
 	unsigned i;
 
 	r->key.nr = blocks < PREFIX_MAX_BLOCKS ? blocks : PREFIX_MAX_BLOCKS;
@@ -120,7 +120,7 @@
 static struct route_choice choose(struct world *w, struct req *r, bool take)
 {
 	struct node *n = &w->nodes[r->entry];
-	const struct route_ask ask = {
+	const struct route_query ask = {
 		.prefix = &r->key,
 		.prompt_tokens = r->prompt,
 		.kept_tokens = r->have,
@@ -134,7 +134,7 @@
 
 	if (take && c.endpoint) {
 		route_sent(route_find(n->table, c.endpoint), w->now);
-		prefix_learn(n->prefix, &r->key, c.endpoint, w->now);
+		prefix_insert(n->prefix, &r->key, c.endpoint, w->now);
 	}
 	return c;
 }
@@ -223,8 +223,8 @@
 		while ((it = wfq_expired(n->queue, w->now)))
 			refuse((struct req *)it);
 		while (wfq_count(n->queue)) {
-			const struct route_ask ask = { .max_tokens = 64,
-						       .prompt_tokens = 64 };
+			const struct route_query ask = { .max_tokens = 64,
+							 .prompt_tokens = 64 };
 
 			if (!route_choose(n->table, n->prefix, &ask, &n->rnd,
 					  w->now, NULL, NULL)
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -131,7 +131,7 @@
 static void not_run(struct edge_req *r, enum flt_outcome o, const char *why)
 {
 	met_inc(r->en->m.not_run);
-	flt_note(r->endpoint, o, edge_now(r->en));
+	flt_record_outcome(r->endpoint, o, edge_now(r->en));
 	edge_log_outcome(r, why, r->reply.status);
 	tried(r);
 	edge_send_stop(r);
@@ -154,7 +154,7 @@
 static void lost(struct edge_req *r, enum flt_outcome o, const char *why)
 {
 	met_inc(r->en->m.lost);
-	flt_note(r->endpoint, o, edge_now(r->en));
+	flt_record_outcome(r->endpoint, o, edge_now(r->en));
 	edge_log_outcome(r, why, r->reply.status);
 	if (!r->streaming)
 		count_run(r, r->sent_true_ms);
@@ -288,7 +288,7 @@
 	last = r->said_last;
 	hmsg_put_chunk(&out, "", 0);
 	rq_answered(&r->rq, true, false);
-	flt_note(r->endpoint, FLT_GOOD, edge_now(r->en));
+	flt_record_outcome(r->endpoint, FLT_GOOD, edge_now(r->en));
 	edge_fatal_whole(r);
 	edge_learn_end(r);
 	edge_log_outcome(r, "complete", r->reply.status);
@@ -352,7 +352,8 @@
 		return;
 	}
 	count_run(r, r->sent_true_ms);
-	flt_note(r->endpoint, good ? FLT_GOOD : FLT_FAILED, edge_now(en));
+	flt_record_outcome(r->endpoint, good ? FLT_GOOD : FLT_FAILED,
+			   edge_now(en));
 	if (good) {
 		edge_rollout_answered(r);
 		edge_learn_end(r);
@@ -395,7 +396,8 @@
 
 	r->call = NULL;
 	if (r->reply.not_run) {
-		edge_not_run(r, r->reply.misdirected ? FLT_WRONG : FLT_BUSY,
+		edge_not_run(r,
+			     r->reply.misdirected ? FLT_MISDIRECTED : FLT_BUSY,
 			     "refused by endpoint");
 		return;
 	}
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -82,7 +82,7 @@
 		[FATAL_CLEARED] = "cleared",
 	};
 	struct edge *en = arg;
-	const struct flt_endpoint *e = flt_by_hash(&en->fleet, endpoint);
+	const struct flt_endpoint *e = flt_find_by_hash(&en->fleet, endpoint);
 
 	/* What another entry saw stands in its own log. */
 	log_news(en, row,
@@ -150,10 +150,10 @@
 
 static void mark(struct edge *en, uint64_t endpoint)
 {
-	struct flt_endpoint *e = flt_by_hash(&en->fleet, endpoint);
+	struct flt_endpoint *e = flt_find_by_hash(&en->fleet, endpoint);
 
 	if (e)
-		e->suspects++;
+		e->suspect_runs++;
 }
 
 void edge_fatal_mark(struct edge *en)
@@ -166,7 +166,7 @@
 		return;
 	en->fatal_marked = en->fatal.count > 0;
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
-		e->suspects = 0;
+		e->suspect_runs = 0;
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
 		if (fatal_count(row) < FATAL_STRONG_ENDS)
 			continue;
@@ -248,14 +248,14 @@
 	struct fatal_row *row;
 
 	/* An announced end takes what is left with it: nothing is to blame. */
-	if (flt_leaving_for(e, now) >= 0 && !e->ended)
+	if (flt_leaving_ms(e, now) >= 0 && !e->exited)
 		return;
 	row = fatal_broke(&en->fatal, r->content, e->hash, now - r->sent_ms,
-			  !e->ended && edge_probe(en, e), now);
+			  !e->exited && edge_probe(en, e), now);
 	str_copy(row->route, r->route->name, sizeof(row->route));
 	if (r->account)
 		str_copy(row->account, r->account->name, sizeof(row->account));
-	if (e->ended)
+	if (e->exited)
 		fatal_ended(&en->fatal, e->hash, now);
 }
 
@@ -270,7 +270,7 @@
 		break;
 	case HTC_NOBODY:
 		met_inc(en->m.endpoints_ended);
-		flt_note_ended(e, now);
+		flt_mark_exited(e, now);
 		fatal_ended(&en->fatal, e->hash, now);
 		break;
 	case HTC_SILENT:
@@ -283,7 +283,7 @@
 
 void edge_fatal_gone(struct edge *en, const struct flt_endpoint *e)
 {
-	if (!e->drain_ms)
+	if (!e->draining_since_ms)
 		fatal_ended(&en->fatal, e->hash, edge_now(en));
 }
 
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -65,7 +65,7 @@
 };
 
 struct edge_budget {
-	char service[FLT_NAME];
+	char service[FLT_NAME_SIZE];
 	struct again again;
 };
 
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -188,7 +188,7 @@
 	if (!e || !r->call || !r->streaming || !r->rq.started ||
 	    r->hand.state != HAND_NONE || !r->service->engine.moves)
 		return false;
-	return flt_leaving_for(e, now) >= MOVE_AFTER_MS;
+	return flt_leaving_ms(e, now) >= MOVE_AFTER_MS;
 }
 
 void edge_move_tick(struct edge *en, int64_t now)
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -352,7 +352,7 @@
 
 	en->smoothed_ms = now;
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
-		flt_average_told(e, left);
+		flt_smooth_peer_prefill(e, left);
 }
 
 void edge_peer_loads(struct edge *en, int64_t now)
@@ -363,7 +363,7 @@
 
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
 		e->peer_running = 0;
-		e->told_prefill_tokens = 0;
+		e->reported_prefill_tokens = 0;
 	}
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (!p->last || !prs_alive(p, now))
@@ -371,11 +371,11 @@
 		for (i = 0; i < p->last->nr_loads; i++) {
 			const struct gsp_load *l = &p->last->loads[i];
 
-			e = flt_by_hash(&en->fleet, l->endpoint);
+			e = flt_find_by_hash(&en->fleet, l->endpoint);
 			if (!e)
 				continue;
 			e->peer_running += l->running;
-			e->told_prefill_tokens += l->prefill_tokens;
+			e->reported_prefill_tokens += l->prefill_tokens;
 		}
 	}
 	smooth_loads(en, now);
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -90,11 +90,12 @@
 {
 	if (!e->info.version[0])
 		return;
-	if (ro->established[0] && (en->watches[EDGE_ENDPOINTS].mirror.whole ||
-				   e->info.born_ms >= ro->established_born_ms))
+	if (ro->established[0] &&
+	    (en->watches[EDGE_ENDPOINTS].mirror.whole ||
+	     e->info.started_ms >= ro->established_born_ms))
 		return;
 	str_copy(ro->established, e->info.version, sizeof(ro->established));
-	ro->established_born_ms = e->info.born_ms;
+	ro->established_born_ms = e->info.started_ms;
 }
 
 static int by_weight(const void *a, const void *b)
@@ -117,8 +118,9 @@
 	unsigned n = 0, chosen;
 
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
-		if (is_of(ro, e) && n < MAX_ENDPOINTS && !e->drain_ms &&
-		    !e->ended && !strcmp(e->info.version, ro->record.target))
+		if (is_of(ro, e) && n < MAX_ENDPOINTS &&
+		    !e->draining_since_ms && !e->exited &&
+		    !strcmp(e->info.version, ro->record.target))
 			weights[n++] = hsh_rendezvous(order, e->hash);
 	}
 	chosen = rol_trial_endpoints(&ro->record, n);
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -35,11 +35,13 @@
 		if (strcmp(e->info.service, ro->service) != 0)
 			continue;
 		if (!strcmp(e->info.version, target)) {
-			s.in_target += !e->drain_ms && !e->missing_ms;
+			s.in_target += !e->draining_since_ms &&
+				       !e->missing_since_ms;
 		} else if (!strcmp(e->info.version, from)) {
-			s.in_from += !e->drain_ms && !e->missing_ms;
+			s.in_from += !e->draining_since_ms &&
+				     !e->missing_since_ms;
 			s.former_running += e->running + e->peer_running;
-		} else if (e->use == FLT_WITHHELD && !e->drain_ms) {
+		} else if (e->use == FLT_WITHHELD && !e->draining_since_ms) {
 			s.unordered++;
 			s.unordered_version = e->info.version;
 		}
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -299,7 +299,8 @@
 		z->price = s->scaling.prices[i].price;
 		cds_list_for_each_entry(e, &d->en->fleet.endpoints, node) {
 			if (strcmp(e->info.service, s->name) ||
-			    strcmp(e->info.zone, z->name) || e->drain_ms)
+			    strcmp(e->info.zone, z->name) ||
+			    e->draining_since_ms)
 				continue;
 			count_endpoint(d->en, z, e);
 		}
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -84,14 +84,14 @@
 				  ? r->a.shared_part
 				  : 0,
 		.ignore_failures = !en->conf->policy.avoid_failing,
-		.apart = r->apart,
+		.isolate = r->apart,
 		.sending_peers = en->sending_peers,
 		.sample_seed = en->conf->policy.sample
 				       ? hsh_str(r->a.id, r->sends) | 1
 				       : 0,
 		.use = use,
 		.shared_tokens = r->a.shared_tokens,
-		.own_tokens = r->a.prompt_tokens - r->a.shared_tokens,
+		.unshared_tokens = r->a.prompt_tokens - r->a.shared_tokens,
 		.now_ms = edge_now(en),
 		.nr_excluded = r->nr_tried,
 		.parts = &en->parts,
@@ -139,17 +139,17 @@
 	r->endpoint->running++;
 	edge_rollout_sent(r);
 	r->model = edge_model(en, r->service->name);
-	r->at = p->at;
+	r->at = p->state;
 	r->expected_ms = p->wait_ms;
-	r->sure = p->sure;
+	r->sure = p->cache_certain;
 	r->prefill_tokens =
 		r->a.prompt_tokens - (p->cached ? r->a.shared_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
 		svc_sent(r->model, r->at.read_tokens, edge_now(en));
 	if (r->route->cached && r->a.shared_part)
-		parts_used(&en->parts, r->a.shared_part, r->endpoint->hash,
-			   edge_now(en));
+		parts_record(&en->parts, r->a.shared_part, r->endpoint->hash,
+			     edge_now(en));
 }
 
 static void start(struct edge_req *r, const struct pick_result *p,
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -37,7 +37,7 @@
 	jlog_str(en->log, "version", e->info.version);
 	jlog_int(en->log, "use", e->use);
 	jlog_bool(en->log, "reclaimable", e->info.reclaimable);
-	jlog_int(en->log, "leaves_ms", e->info.leaves_ms);
+	jlog_int(en->log, "leaves_ms", e->info.time_left_ms);
 	jlog_int(en->log, "running", e->running);
 	/* How long a change may have waited to be seen. */
 	jlog_int(en->log, "list_age_ms", edge_list_age(en, edge_now(en)));
@@ -51,7 +51,7 @@
 static bool left_since(struct edge *en, const struct flt_info *info)
 {
 	if (!en->watches[EDGE_ENDPOINTS].returning ||
-	    !flt_has_left(&en->fleet, info, edge_now(en)))
+	    !flt_was_removed(&en->fleet, info, edge_now(en)))
 		return false;
 	jlog_begin(en->log, JLOG_INFO, "endpoint");
 	jlog_str(en->log, "endpoint", info->id);
@@ -68,19 +68,19 @@
 	struct err e = ERR_INIT;
 	struct flt_info info;
 	struct flt_endpoint *ep;
-	enum flt_news news;
+	enum flt_change news;
 
 	if (en->wire->endpoint(key, value, len, &info, &e)) {
 		/* Whoever wrote it: the key names no endpoint now. */
-		flt_unnamed(&en->fleet, key + strlen(en->wire->endpoint_prefix),
-			    edge_now(en));
+		flt_remove(&en->fleet, key + strlen(en->wire->endpoint_prefix),
+			   edge_now(en));
 		met_inc(en->m.entries_unreadable);
 		edge_unreadable(en, key, e.text);
 		return;
 	}
 	if (left_since(en, &info))
 		return;
-	ep = flt_listed(&en->fleet, &info, edge_now(en), &news);
+	ep = flt_upsert(&en->fleet, &info, edge_now(en), &news);
 	edge_rollout_listed(en, ep);
 	if (words[news])
 		log_endpoint(en, ep, words[news]);
@@ -182,12 +182,13 @@
 	struct flt_endpoint *e;
 
 	if (begins(key, en->wire->endpoint_prefix)) {
-		e = flt_unlisted(&en->fleet,
-				 key + strlen(en->wire->endpoint_prefix),
-				 store_back_ms(en), now);
+		e = flt_mark_missing(&en->fleet,
+				     key + strlen(en->wire->endpoint_prefix),
+				     store_back_ms(en), now);
 		if (e)
 			log_endpoint(en, e,
-				     e->hold_ms > now ? "lapsed" : "unlisted");
+				     e->grace_until_ms > now ? "lapsed"
+							     : "unlisted");
 	} else if (begins(key, EDGE_ENTRY_PREFIX)) {
 		prs_unregistered(&en->prs, key + strlen(EDGE_ENTRY_PREFIX),
 				 now);
--- a/lib/entry/ent_admit.c
+++ b/lib/entry/ent_admit.c
@@ -100,7 +100,7 @@
 {
 	struct ent_model *m = rq->mod;
 	struct route_choice c;
-	struct route_ask ask;
+	struct route_query ask;
 
 	pthread_mutex_lock(&m->lock);
 	ent_fill_ask(rq, &ask);
@@ -205,7 +205,7 @@
 /* A request shaped like a small one: is there room for anything at all? */
 static bool has_room(struct entry *en, struct ent_model *m)
 {
-	struct route_ask ask = { .max_tokens = 64, .prompt_tokens = 64 };
+	struct route_query ask = { .max_tokens = 64, .prompt_tokens = 64 };
 	bool room;
 
 	pthread_mutex_lock(&m->lock);
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -450,8 +450,8 @@
 		rq->mod = ent_model_get(en, rq->service, rq->model, true);
 		rq->prompt = prompt_of(rq->body);
 		rq->prefix = mem_new(sizeof(*rq->prefix));
-		prefix_cut(rq->prefix, rq->prompt, strlen(rq->prompt),
-			   hsh_str(rq->model, 0));
+		prefix_key_init(rq->prefix, rq->prompt, strlen(rq->prompt),
+				hsh_str(rq->model, 0));
 		continue_run(rq);
 	}
 	pthread_mutex_unlock(&rq->lock);
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -422,8 +422,8 @@
 	rq->prompt = p->prompt;
 	p->prompt = NULL;
 	rq->prefix = mem_new(sizeof(*rq->prefix));
-	prefix_cut(rq->prefix, rq->prompt, len,
-		   hsh_str(p->adapter, hsh_str(rq->model, 0)));
+	prefix_key_init(rq->prefix, rq->prompt, len,
+			hsh_str(p->adapter, hsh_str(rq->model, 0)));
 	rq->body = mem_dup(buf_cstr(&c->rq->body));
 	flow_init(&rq->flow, rnd_secret(), rq->prompt_tokens,
 		  ent_now(en) + deadline_ms);
--- a/lib/entry/ent_poll.c
+++ b/lib/entry/ent_poll.c
@@ -45,10 +45,9 @@
 	 * Events that fell out of the report, or a count that went back, may
 	 * hide evictions: what was learned before counts no more.
 	 */
-	if (s->cache_first > ep->cache_seen + 1 ||
-	    s->cache_seq < ep->cache_seen)
-		ep->gap_ms = now;
-	ep->cache_seen = s->cache_seq;
+	if (s->cache_first > ep->cache_seq + 1 || s->cache_seq < ep->cache_seq)
+		ep->cache_gap_ms = now;
+	ep->cache_seq = s->cache_seq;
 	route_report(ep, s->running, s->waiting, s->load_age_ms, now);
 }
 
@@ -69,7 +68,7 @@
 		if (ok) {
 			take_state(ep, p->m, &s, now);
 		} else {
-			ep->avoid_until = now + AVOID_MS;
+			ep->avoid_until_ms = now + AVOID_MS;
 			if (why == ERR_REFUSED)
 				ep->ready = false;
 		}
@@ -116,9 +115,9 @@
 
 	for (i = 0; i < n; i++) {
 		if (sub[i]->ready != ready || sub[i]->leaving ||
-		    (sub[i]->asked_ms && now - sub[i]->asked_ms < gap_ms))
+		    (sub[i]->polled_ms && now - sub[i]->polled_ms < gap_ms))
 			continue;
-		if (!best || sub[i]->asked_ms < best->asked_ms)
+		if (!best || sub[i]->polled_ms < best->polled_ms)
 			best = sub[i];
 	}
 	return best;
@@ -135,7 +134,7 @@
 	pthread_mutex_lock(&m->lock);
 	ep = oldest(m, ready, gap_ms, now);
 	if (ep) {
-		ep->asked_ms = now;
+		ep->polled_ms = now;
 		id = ep->id;
 		str_copy(address, ep->address, sizeof(address));
 	}
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -488,7 +488,7 @@
 				sub[i]->leaving ? "true" : "false",
 				(long long)sub[i]->running,
 				(long long)sub[i]->waiting,
-				(long long)sub[i]->own);
+				(long long)sub[i]->own_open);
 			sep = ",";
 		}
 		pthread_mutex_unlock(&m->lock);
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -43,7 +43,7 @@
 	if (ep) {
 		route_done(ep, now);
 		if (failed)
-			ep->avoid_until = now + AVOID_MS;
+			ep->avoid_until_ms = now + AVOID_MS;
 	}
 	pthread_mutex_unlock(&m->lock);
 }
@@ -355,7 +355,7 @@
 /* ---- Choosing ---- */
 
 /* Called with the model's lock held. */
-void ent_fill_ask(const struct ent_req *rq, struct route_ask *ask)
+void ent_fill_ask(const struct ent_req *rq, struct route_query *ask)
 {
 	memset(ask, 0, sizeof(*ask));
 	ask->prefix = rq->prefix;
@@ -378,7 +378,8 @@
 	for (i = 0; i < n && at + 48 < sizeof(rows); i++)
 		at += (size_t)snprintf(rows + at, sizeof(rows) - at,
 				       "%s%.20s:%.0f/%zu", i ? "," : "",
-				       s[i].ep->name, s[i].ms, s[i].cached);
+				       s[i].ep->name, s[i].ms,
+				       s[i].cached_chars);
 	for (i = 0; i < n; i++) {
 		if (s[i].ep->id == c->endpoint)
 			break;
@@ -386,8 +387,8 @@
 	ent_req_log(rq,
 		    "choose endpoint=%s score_ms=%.0f cached=%zu "
 		    "considered=%u candidates=%s",
-		    i < n ? s[i].ep->name : "none", c->score_ms, c->cached,
-		    c->considered, rows);
+		    i < n ? s[i].ep->name : "none", c->score_ms,
+		    c->cached_chars, c->considered, rows);
 }
 
 /* Chooses and notes the choice in the table. */
@@ -397,7 +398,7 @@
 	struct ent_model *m = rq->mod;
 	const int64_t now = ent_now(rq->en);
 	struct route_choice c;
-	struct route_ask ask;
+	struct route_query ask;
 	size_t n = 0;
 
 	pthread_mutex_lock(&m->lock);
@@ -406,7 +407,7 @@
 	if (c.endpoint && (c.has_room || !only_with_room)) {
 		route_sent(route_find(m->table, c.endpoint), now);
 		if (rq->prefix)
-			prefix_learn(m->prefix, rq->prefix, c.endpoint, now);
+			prefix_insert(m->prefix, rq->prefix, c.endpoint, now);
 	}
 	log_choice(rq, &c, s, n);
 	pthread_mutex_unlock(&m->lock);
--- a/lib/entry/entry_internal.h
+++ b/lib/entry/entry_internal.h
@@ -456,7 +456,7 @@
 /* Routes a request that is due and calls the endpoint. Lock held. */
 void ent_route_and_call(struct ent_req *rq);
 /* What routing is asked for this request. The model's lock is held. */
-void ent_fill_ask(const struct ent_req *rq, struct route_ask *ask);
+void ent_fill_ask(const struct ent_req *rq, struct route_query *ask);
 void *ent_dispatch_run(void *arg);
 void *ent_mover_run(void *arg);
 /* First admission; the verdict of admit for the caller. */
--- a/lib/fleet/flt.c
+++ b/lib/fleet/flt.c
@@ -36,7 +36,7 @@
 {
 	memset(f, 0, sizeof(*f));
 	CDS_INIT_LIST_HEAD(&f->endpoints);
-	f->unlink = unlink;
+	f->release_link = unlink;
 }
 
 void flt_ref(struct flt_endpoint *e)
@@ -49,8 +49,8 @@
 	assert(e->refs);
 	if (--e->refs)
 		return;
-	if (f->unlink)
-		f->unlink(e);
+	if (f->release_link)
+		f->release_link(e);
 	free(e);
 }
 
@@ -84,26 +84,27 @@
 
 static uint64_t hash_of(const struct flt_info *info)
 {
-	return hsh_str(info->id, (uint64_t)info->born_ms);
+	return hsh_str(info->id, (uint64_t)info->started_ms);
 }
 
 static void remember(struct flt *f, uint64_t hash, int64_t now)
 {
-	f->left[f->nr_left % FLT_MAX_LEFT].hash = hash;
-	f->left[f->nr_left % FLT_MAX_LEFT].at_ms = now;
-	f->nr_left++;
+	f->removed[f->nr_removed % FLT_MAX_REMOVED].hash = hash;
+	f->removed[f->nr_removed % FLT_MAX_REMOVED].at_ms = now;
+	f->nr_removed++;
 }
 
-bool flt_has_left(const struct flt *f, const struct flt_info *info, int64_t now)
+bool flt_was_removed(const struct flt *f, const struct flt_info *info,
+		     int64_t now)
 {
-	const unsigned n = f->nr_left < FLT_MAX_LEFT ? f->nr_left
-						     : FLT_MAX_LEFT;
+	const unsigned n = f->nr_removed < FLT_MAX_REMOVED ? f->nr_removed
+							   : FLT_MAX_REMOVED;
 	const uint64_t hash = hash_of(info);
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		if (f->left[i].hash == hash &&
-		    now - f->left[i].at_ms < FLT_LEFT_MS)
+		if (f->removed[i].hash == hash &&
+		    now - f->removed[i].at_ms < FLT_REMOVED_KEEP_MS)
 			return true;
 	}
 	return false;
@@ -113,10 +114,10 @@
 {
 	remember(f, e->hash, now);
 	table_del(f, e);
-	e->gone = true;
+	e->removed = true;
 	/* Requests under way ask since when it is leaving. */
-	if (!e->missing_ms)
-		e->missing_ms = now;
+	if (!e->missing_since_ms)
+		e->missing_since_ms = now;
 	flt_unref(f, e);
 }
 
@@ -137,7 +138,7 @@
 	return e;
 }
 
-struct flt_endpoint *flt_by_hash(struct flt *f, uint64_t hash)
+struct flt_endpoint *flt_find_by_hash(struct flt *f, uint64_t hash)
 {
 	struct flt_endpoint *e;
 
@@ -153,40 +154,40 @@
 	assert(e);
 	e->info = *info;
 	e->hash = hash_of(info);
-	e->since_ms = now;
-	e->faded_ms = now;
+	e->first_seen_ms = now;
+	e->decayed_ms = now;
 	e->refs = 1;
 	table_add(f, e);
 	return e;
 }
 
-struct flt_endpoint *flt_listed(struct flt *f, const struct flt_info *info,
-				int64_t now, enum flt_news *news)
+struct flt_endpoint *flt_upsert(struct flt *f, const struct flt_info *info,
+				int64_t now, enum flt_change *news)
 {
 	struct flt_endpoint *e = flt_find(f, info->id);
 
-	*news = FLT_SAME;
-	if (e && e->info.born_ms != info->born_ms) {
+	*news = FLT_UNCHANGED;
+	if (e && e->info.started_ms != info->started_ms) {
 		drop(f, e, now);
 		e = add(f, info, now);
 		*news = FLT_RESTARTED;
 	} else if (!e) {
 		e = add(f, info, now);
-		*news = FLT_NEW;
-	} else if (e->missing_ms) {
-		*news = FLT_BACK;
+		*news = FLT_ADDED;
+	} else if (e->missing_since_ms) {
+		*news = FLT_RELISTED;
 	}
 	e->info = *info;
-	e->missing_ms = 0;
-	if (info->draining && !e->drain_ms) {
-		e->drain_ms = now;
-		if (*news == FLT_SAME || *news == FLT_BACK)
+	e->missing_since_ms = 0;
+	if (info->draining && !e->draining_since_ms) {
+		e->draining_since_ms = now;
+		if (*news == FLT_UNCHANGED || *news == FLT_RELISTED)
 			*news = FLT_DRAINING;
 	}
 	return e;
 }
 
-bool flt_unnamed(struct flt *f, const char *id, int64_t now)
+bool flt_remove(struct flt *f, const char *id, int64_t now)
 {
 	struct flt_endpoint *e = flt_find(f, id);
 
@@ -195,17 +196,18 @@
 	return e != NULL;
 }
 
-struct flt_endpoint *flt_unlisted(struct flt *f, const char *id,
-				  int64_t store_back, int64_t now)
+struct flt_endpoint *flt_mark_missing(struct flt *f, const char *id,
+				      int64_t store_back, int64_t now)
 {
 	struct flt_endpoint *e = flt_find(f, id);
 
-	if (!e || e->missing_ms)
+	if (!e || e->missing_since_ms)
 		return e;
-	e->missing_ms = now;
-	e->hold_ms = now;
-	if (store_back && !e->drain_ms && store_back + FLT_LAPSE_HOLD_MS > now)
-		e->hold_ms = store_back + FLT_LAPSE_HOLD_MS;
+	e->missing_since_ms = now;
+	e->grace_until_ms = now;
+	if (store_back && !e->draining_since_ms &&
+	    store_back + FLT_LAPSE_GRACE_MS > now)
+		e->grace_until_ms = store_back + FLT_LAPSE_GRACE_MS;
 	return e;
 }
 
@@ -215,26 +217,26 @@
 	struct flt_endpoint *e, *next;
 
 	cds_list_for_each_entry_safe(e, next, &f->endpoints, node) {
-		if (!e->missing_ms || now < e->hold_ms)
+		if (!e->missing_since_ms || now < e->grace_until_ms)
 			continue;
 		told(e, arg);
 		drop(f, e, now);
 	}
 }
 
-void flt_average_told(struct flt_endpoint *e, double left)
+void flt_smooth_peer_prefill(struct flt_endpoint *e, double left)
 {
 	const double mean = e->peer_prefill_tokens;
 
-	e->peer_prefill_tokens =
-		e->told_prefill_tokens + (mean - e->told_prefill_tokens) * left;
+	e->peer_prefill_tokens = e->reported_prefill_tokens +
+				 (mean - e->reported_prefill_tokens) * left;
 }
 
 bool flt_usable(const struct flt_endpoint *e, int64_t now)
 {
-	if (e->gone || e->drain_ms || now < e->aside_ms)
+	if (e->removed || e->draining_since_ms || now < e->backoff_until_ms)
 		return false;
-	return !e->missing_ms || now < e->hold_ms;
+	return !e->missing_since_ms || now < e->grace_until_ms;
 }
 
 void flt_set_use(struct flt_endpoint *e, enum flt_use use, bool move_streams,
@@ -242,26 +244,26 @@
 {
 	e->use = use;
 	if (!move_streams)
-		e->move_streams_ms = 0;
-	else if (!e->move_streams_ms)
-		e->move_streams_ms = now;
+		e->move_streams_since_ms = 0;
+	else if (!e->move_streams_since_ms)
+		e->move_streams_since_ms = now;
 }
 
-int64_t flt_leaving_for(const struct flt_endpoint *e, int64_t now)
+int64_t flt_leaving_ms(const struct flt_endpoint *e, int64_t now)
 {
-	if (e->drain_ms)
-		return now - e->drain_ms;
-	if (e->move_streams_ms)
-		return now - e->move_streams_ms;
+	if (e->draining_since_ms)
+		return now - e->draining_since_ms;
+	if (e->move_streams_since_ms)
+		return now - e->move_streams_since_ms;
 	/* One that lapsed in an outage of the store may live on. */
-	return e->gone ? now - e->missing_ms : -1;
+	return e->removed ? now - e->missing_since_ms : -1;
 }
 
 /* ---- Outcomes ---- */
 
 static double fading(const struct flt_endpoint *e, int64_t now)
 {
-	return fade_left(FADE_MS, e->faded_ms, now);
+	return fade_left(FADE_MS, e->decayed_ms, now);
 }
 
 static void strike(struct flt_endpoint *e, int64_t now)
@@ -269,39 +271,39 @@
 	int64_t wait = ASIDE_MS;
 	int i;
 
-	for (i = 0; i < e->strikes && wait < ASIDE_MAX_MS; i++)
+	for (i = 0; i < e->connect_failures && wait < ASIDE_MAX_MS; i++)
 		wait *= 2;
-	e->strikes++;
-	e->aside_ms = now + wait;
+	e->connect_failures++;
+	e->backoff_until_ms = now + wait;
 }
 
-void flt_note(struct flt_endpoint *e, enum flt_outcome o, int64_t now)
+void flt_record_outcome(struct flt_endpoint *e, enum flt_outcome o, int64_t now)
 {
 	const double left = fading(e, now);
 
 	e->failed *= left;
 	e->tried = e->tried * left + 1;
-	e->faded_ms = now;
+	e->decayed_ms = now;
 	if (o == FLT_FAILED || o == FLT_UNREACHABLE)
 		e->failed += 1;
 	if (o == FLT_UNREACHABLE)
 		strike(e, now);
 	else
-		e->strikes = 0;
+		e->connect_failures = 0;
 	if (o == FLT_BUSY)
-		e->aside_ms = now + BUSY_ASIDE_MS;
+		e->backoff_until_ms = now + BUSY_ASIDE_MS;
 	/*
 	 * The address belongs to another endpoint now: this one is gone, and
 	 * the list will say so.
 	 */
-	if (o == FLT_WRONG)
-		e->aside_ms = now + ASIDE_MAX_MS;
+	if (o == FLT_MISDIRECTED)
+		e->backoff_until_ms = now + ASIDE_MAX_MS;
 }
 
-void flt_note_ended(struct flt_endpoint *e, int64_t now)
+void flt_mark_exited(struct flt_endpoint *e, int64_t now)
 {
-	e->ended = true;
-	e->aside_ms = now + ENDED_ASIDE_MS;
+	e->exited = true;
+	e->backoff_until_ms = now + ENDED_ASIDE_MS;
 }
 
 double flt_fail_rate(const struct flt_endpoint *e, int64_t now)
--- a/lib/route/parts.c
+++ b/lib/route/parts.c
@@ -7,7 +7,8 @@
 	memset(p, 0, sizeof(*p));
 }
 
-void parts_used(struct parts *p, uint64_t part, uint64_t endpoint, int64_t now)
+void parts_record(struct parts *p, uint64_t part, uint64_t endpoint,
+		  int64_t now)
 {
 	struct parts_row *set = p->rows[part % PARTS_SETS], *oldest = set;
 	int i;
@@ -23,8 +24,8 @@
 	*oldest = (struct parts_row){ part, endpoint, now };
 }
 
-bool parts_held(const struct parts *p, uint64_t part, uint64_t endpoint,
-		int64_t now)
+bool parts_likely_cached(const struct parts *p, uint64_t part,
+			 uint64_t endpoint, int64_t now)
 {
 	const struct parts_row *set = p->rows[part % PARTS_SETS];
 	int i;
@@ -32,7 +33,7 @@
 	for (i = 0; i < PARTS_WAYS; i++) {
 		if (set[i].used_ms && set[i].part == part &&
 		    set[i].endpoint == endpoint)
-			return now - set[i].used_ms < PARTS_FRESH_MS;
+			return now - set[i].used_ms < PARTS_CACHED_MS;
 	}
 	return false;
 }
--- a/lib/route/parts.h
+++ b/lib/route/parts.h
@@ -16,7 +16,7 @@
 #define PARTS_WAYS 4
 
 /* An endpoint's cache forgets a part that nobody used for about this long. */
-#define PARTS_FRESH_MS 30000
+#define PARTS_CACHED_MS 30000
 
 struct parts {
 	struct parts_row {
@@ -26,9 +26,9 @@
 };
 
 void parts_init(struct parts *p);
-void parts_used(struct parts *p, uint64_t part, uint64_t endpoint,
-		int64_t now_ms);
-bool parts_held(const struct parts *p, uint64_t part, uint64_t endpoint,
-		int64_t now_ms);
+void parts_record(struct parts *p, uint64_t part, uint64_t endpoint,
+		  int64_t now_ms);
+bool parts_likely_cached(const struct parts *p, uint64_t part,
+			 uint64_t endpoint, int64_t now_ms);
 
 #endif
--- a/lib/route/pick.c
+++ b/lib/route/pick.c
@@ -92,7 +92,8 @@
 {
 	if (!q->prefix)
 		return 0;
-	if (q->parts && parts_held(q->parts, q->prefix, e->hash, q->now_ms))
+	if (q->parts &&
+	    parts_likely_cached(q->parts, q->prefix, e->hash, q->now_ms))
 		return 1;
 	return is_home ? HASHED_CHANCE : 0;
 }
@@ -106,9 +107,9 @@
 
 static double risk_of(const struct pick_query *q, const struct flt_endpoint *e)
 {
-	double at_risk = e->suspects > 0;
+	double at_risk = e->suspect_runs > 0;
 
-	if (q->apart)
+	if (q->isolate)
 		at_risk += e->running + e->peer_running;
 	return at_risk * SUSPECT_COST_MS;
 }
@@ -119,15 +120,15 @@
 	const double again = q->shared_tokens * (1 - cached);
 	double cost;
 
-	r->at = state_of(e, q->own_tokens + again);
+	r->state = state_of(e, q->unshared_tokens + again);
 	if (q->engine) {
-		r->wait_ms = svc_first_ms(q->model, &r->at);
+		r->wait_ms = svc_first_ms(q->model, &r->state);
 		cost = r->wait_ms +
-		       r->at.running * RUN_PART *
+		       r->state.running * RUN_PART *
 			       svc_read_ms(q->model, q->model->read_usual) +
 		       REREAD_EXTRA * svc_read_ms(q->model, again);
 	} else {
-		r->wait_ms = svc_answer_ms(q->model, &r->at);
+		r->wait_ms = svc_answer_ms(q->model, &r->state);
 		cost = r->wait_ms;
 	}
 	if (!q->ignore_failures)
@@ -189,7 +190,7 @@
 		best = r;
 		best.endpoint = e;
 		best.cached = cached > 0;
-		best.sure = cached >= 1 || !q->shared_tokens;
+		best.cache_certain = cached >= 1 || !q->shared_tokens;
 	}
 	best.candidates = candidates;
 	return best;
--- a/lib/route/pick.h
+++ b/lib/route/pick.h
@@ -30,25 +30,25 @@
 	bool engine;		 /* batches, caches prompts */
 	uint64_t prefix;	 /* hash of the shared part; 0: none */
 	double shared_tokens;	 /* of the prompt, that others may have read */
-	double own_tokens;	 /* of the prompt, that nobody has read */
+	double unshared_tokens;	 /* of the prompt, that nobody has read */
 	int64_t now_ms;
 	const struct flt_endpoint *excluded[PICK_MAX_EXCLUDED];
 	unsigned nr_excluded;
 	bool ignore_failures;
 	uint64_t sample_seed;	/* differs for each send; 0 disables sampling */
 	unsigned sending_peers; /* other entries that send requests */
-	bool apart; /* it may end the endpoint: away from other requests */
+	bool isolate; /* it may end the endpoint: away from other requests */
 	enum flt_use use;    /* endpoints that may be picked */
 	struct parts *parts; /* where shared parts were sent lately */
 };
 
 struct pick_result {
 	struct flt_endpoint *endpoint; /* NULL: none is usable */
-	struct svc_state at; /* the endpoint, and what it has to read */
+	struct svc_state state; /* the endpoint, and what it has to read */
 	double cost_ms;
-	double wait_ms; /* predicted time to the first event or answer */
-	bool cached;	/* the shared part is expected there */
-	bool sure;	/* and was sent there lately, or there is none */
+	double wait_ms;	    /* predicted time to the first event or answer */
+	bool cached;	    /* the shared part is expected there */
+	bool cache_certain; /* and was sent there lately, or there is none */
 	unsigned candidates;
 };
 
--- a/lib/route/prefix.c
+++ b/lib/route/prefix.c
@@ -39,17 +39,17 @@
 	free(p);
 }
 
-void prefix_cut(struct prefix_key *k, const char *text, size_t len,
-		uint64_t salt)
+void prefix_key_init(struct prefix_key *k, const char *text, size_t len,
+		     uint64_t salt)
 {
 	uint64_t h = salt;
 	size_t at;
 
 	k->nr = 0;
-	for (at = 0; at + PREFIX_BLOCK <= len; at += PREFIX_BLOCK) {
+	for (at = 0; at + PREFIX_BLOCK_CHARS <= len; at += PREFIX_BLOCK_CHARS) {
 		if (k->nr == PREFIX_MAX_BLOCKS)
 			break;
-		h = hsh_bytes(text + at, PREFIX_BLOCK, h);
+		h = hsh_bytes(text + at, PREFIX_BLOCK_CHARS, h);
 		k->block[k->nr++] = h;
 	}
 }
@@ -86,8 +86,8 @@
 	return old;
 }
 
-void prefix_learn(struct prefix *p, const struct prefix_key *k,
-		  uint64_t endpoint, int64_t now_ms)
+void prefix_insert(struct prefix *p, const struct prefix_key *k,
+		   uint64_t endpoint, int64_t now_ms)
 {
 	unsigned i;
 
@@ -133,7 +133,7 @@
 		else
 			hi = mid;
 	}
-	return (size_t)lo * PREFIX_BLOCK;
+	return (size_t)lo * PREFIX_BLOCK_CHARS;
 }
 
 size_t prefix_holders(const struct prefix *p, const struct prefix_key *k,
--- a/lib/route/prefix.h
+++ b/lib/route/prefix.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 /* Characters in a block: short prompts still have a few of them. */
-#define PREFIX_BLOCK 128
+#define PREFIX_BLOCK_CHARS 128
 
 /* Blocks looked at per prompt; bounds the cost of a decision. */
 #define PREFIX_MAX_BLOCKS 48
@@ -33,12 +33,12 @@
 void prefix_free(struct prefix *p);
 
 /* Cuts `text` into blocks; `salt` keeps models and adapters apart. */
-void prefix_cut(struct prefix_key *k, const char *text, size_t len,
-		uint64_t salt);
+void prefix_key_init(struct prefix_key *k, const char *text, size_t len,
+		     uint64_t salt);
 
 /* `endpoint` was given this prompt and will have it cached. */
-void prefix_learn(struct prefix *p, const struct prefix_key *k,
-		  uint64_t endpoint, int64_t now_ms);
+void prefix_insert(struct prefix *p, const struct prefix_key *k,
+		   uint64_t endpoint, int64_t now_ms);
 
 /*
  * Characters of the prompt that `endpoint` is believed to have. `since_ms`
--- a/lib/route/route.c
+++ b/lib/route/route.c
@@ -126,15 +126,15 @@
 	dst->report_ms = old.report_ms;
 	dst->running = old.running;
 	dst->waiting = old.waiting;
-	dst->gap_ms = old.gap_ms;
-	dst->cache_seen = old.cache_seen;
+	dst->cache_gap_ms = old.cache_gap_ms;
+	dst->cache_seq = old.cache_seq;
 	dst->streams = old.streams;
-	dst->own = old.own;
-	dst->own_then = old.own_then;
-	memcpy(dst->past, old.past, sizeof(dst->past));
-	dst->nr_past = old.nr_past;
-	dst->avoid_until = old.avoid_until;
-	dst->asked_ms = old.asked_ms;
+	dst->own_open = old.own_open;
+	dst->own_at_report = old.own_at_report;
+	memcpy(dst->load_changes, old.load_changes, sizeof(dst->load_changes));
+	dst->nr_load_changes = old.nr_load_changes;
+	dst->avoid_until_ms = old.avoid_until_ms;
+	dst->polled_ms = old.polled_ms;
 }
 
 struct route_endpoint *route_put(struct route_table *t,
@@ -214,18 +214,20 @@
 /* This entry's open requests at a moment a little ago. */
 static int64_t own_at(const struct route_endpoint *ep, int64_t at_ms)
 {
-	const unsigned kept = ep->nr_past < ROUTE_PAST ? ep->nr_past
-						       : ROUTE_PAST;
-	int64_t own = ep->own;
+	const unsigned kept = ep->nr_load_changes < ROUTE_MAX_LOAD_CHANGES
+				      ? ep->nr_load_changes
+				      : ROUTE_MAX_LOAD_CHANGES;
+	int64_t own = ep->own_open;
 	unsigned i;
 
 	for (i = 1; i <= kept; i++) {
-		const struct route_past *p =
-			&ep->past[(ep->nr_past - i) % ROUTE_PAST];
+		const struct route_load_change *p =
+			&ep->load_changes[(ep->nr_load_changes - i) %
+					  ROUTE_MAX_LOAD_CHANGES];
 
 		if (p->at_ms <= at_ms)
 			break;
-		own = p->own;
+		own = p->own_before;
 	}
 	return own;
 }
@@ -240,16 +242,17 @@
 	ep->report_ms = as_of;
 	ep->running = running;
 	ep->waiting = waiting;
-	ep->own_then = own_at(ep, as_of);
+	ep->own_at_report = own_at(ep, as_of);
 }
 
 static void change_own(struct route_endpoint *ep, int64_t by, int64_t now_ms)
 {
-	struct route_past *p = &ep->past[ep->nr_past++ % ROUTE_PAST];
+	struct route_load_change *p = &ep->load_changes[ep->nr_load_changes++ %
+							ROUTE_MAX_LOAD_CHANGES];
 
 	p->at_ms = now_ms;
-	p->own = ep->own;
-	ep->own += by;
+	p->own_before = ep->own_open;
+	ep->own_open += by;
 }
 
 void route_sent(struct route_endpoint *ep, int64_t now_ms)
@@ -259,7 +262,7 @@
 
 void route_done(struct route_endpoint *ep, int64_t now_ms)
 {
-	if (ep->own > 0)
+	if (ep->own_open > 0)
 		change_own(ep, -1, now_ms);
 }
 
@@ -268,7 +271,8 @@
 /* What others had there when the report was made. */
 static double reported_others(const struct route_endpoint *ep, int64_t now_ms)
 {
-	const double n = (double)(ep->running + ep->waiting - ep->own_then);
+	const double n =
+		(double)(ep->running + ep->waiting - ep->own_at_report);
 
 	if (!ep->report_ms || now_ms - ep->report_ms > STALE_MS)
 		return (double)ep->slots * 0.5;
@@ -306,7 +310,7 @@
 }
 
 double route_predict(const struct route_endpoint *ep, const struct prefix *px,
-		     const struct route_ask *ask, double mean_others,
+		     const struct route_query *ask, double mean_others,
 		     int64_t now_ms, size_t *cached)
 {
 	const double slots = (double)(ep->slots > 0 ? ep->slots : 1);
@@ -314,12 +318,12 @@
 	const double tokens = ask->max_tokens ? ask->max_tokens : 256.0;
 	const double answer_ms = tokens / per_seq * 1000.0;
 	const double others = others_load(ep, mean_others, answer_ms, now_ms);
-	const double load = others + (double)ep->own;
+	const double load = others + (double)ep->own_open;
 	double uncached, ms = 0;
 
-	*cached = ask->prefix
-			  ? prefix_match(px, ask->prefix, ep->id, ep->gap_ms)
-			  : 0;
+	*cached = ask->prefix ? prefix_match(px, ask->prefix, ep->id,
+					     ep->cache_gap_ms)
+			      : 0;
 	uncached = ask->prompt_tokens - (double)*cached / CHARS_PER_TOKEN;
 	if (uncached < 0)
 		uncached = 0;
@@ -337,17 +341,18 @@
 	return ms;
 }
 
-static bool usable(const struct route_endpoint *ep, const struct route_ask *ask,
-		   int64_t now_ms)
+static bool usable(const struct route_endpoint *ep,
+		   const struct route_query *ask, int64_t now_ms)
 {
-	if (!ep->ready || ep->leaving || now_ms < ep->avoid_until)
+	if (!ep->ready || ep->leaving || now_ms < ep->avoid_until_ms)
 		return false;
 	return !ask->version || !*ask->version ||
 	       !strcmp(ask->version, ep->version);
 }
 
-static size_t usable_subset(struct route_table *t, const struct route_ask *ask,
-			    int64_t now_ms, struct route_endpoint **out)
+static size_t usable_subset(struct route_table *t,
+			    const struct route_query *ask, int64_t now_ms,
+			    struct route_endpoint **out)
 {
 	size_t n = 0, i;
 
@@ -359,7 +364,7 @@
 }
 
 static size_t add_holders(struct route_table *t, const struct prefix *px,
-			  const struct route_ask *ask, int64_t now_ms,
+			  const struct route_query *ask, int64_t now_ms,
 			  struct route_endpoint **out, size_t n)
 {
 	uint64_t holders[EXTRA_HOLDERS];
@@ -395,7 +400,7 @@
 	return n ? sum / (double)n : 0;
 }
 
-static bool room_at(const struct route_score *s, const struct route_ask *ask)
+static bool room_at(const struct route_score *s, const struct route_query *ask)
 {
 	return s->load + 1.0 <= (double)s->ep->slots * (1.0 - ask->reserve);
 }
@@ -405,7 +410,7 @@
  * taken in an order that differs from entry to entry and call to call.
  */
 static size_t pick(const struct route_score *s, size_t n, size_t start,
-		   const struct route_ask *ask)
+		   const struct route_query *ask)
 {
 	size_t best = start, i;
 
@@ -421,7 +426,7 @@
 }
 
 struct route_choice route_choose(struct route_table *t, const struct prefix *px,
-				 const struct route_ask *ask, struct rnd *rnd,
+				 const struct route_query *ask, struct rnd *rnd,
 				 int64_t now_ms, struct route_score *scores,
 				 size_t *nr_scores)
 {
@@ -441,8 +446,8 @@
 			continue;
 		s[k].ep = cand[i];
 		s[k].ms = route_predict(cand[i], px, ask, mean, now_ms,
-					&s[k].cached);
-		s[k].load = mean + (double)cand[i]->own;
+					&s[k].cached_chars);
+		s[k].load = mean + (double)cand[i]->own_open;
 		k++;
 	}
 	if (nr_scores)
@@ -453,7 +458,7 @@
 	i = pick(s, k, rnd_below(rnd, (uint32_t)k), ask);
 	c.endpoint = s[i].ep->id;
 	c.score_ms = s[i].ms;
-	c.cached = s[i].cached;
+	c.cached_chars = s[i].cached_chars;
 	c.has_room = room_at(&s[i], ask);
 	return c;
 }
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -35,11 +35,11 @@
 #define ROUTE_ADDR_MAX 64
 
 /* Changes of an entry's own load that are kept: a second's worth or two. */
-#define ROUTE_PAST 32
+#define ROUTE_MAX_LOAD_CHANGES 32
 
-struct route_past {
+struct route_load_change {
 	int64_t at_ms;
-	int64_t own; /* before the change */
+	int64_t own_before; /* before the change */
 };
 
 /* What the instance list and the endpoint's own report say of it. */
@@ -63,18 +63,19 @@
 	int64_t report_ms;
 	int64_t running;
 	int64_t waiting;
-	int64_t gap_ms;	    /* last gap in its cache events */
-	int64_t cache_seen; /* last cache event taken in */
-	int64_t streams;    /* open runs of all entries, as reported */
-	int64_t own;	    /* own requests open now */
-	int64_t own_then;   /* the same at the time the report is of */
-	struct route_past past[ROUTE_PAST]; /* changes of `own`, a ring */
-	unsigned nr_past;
-	int64_t avoid_until; /* after a failure; monotonic ms */
-	int64_t asked_ms;    /* when its load was last asked for */
+	int64_t cache_gap_ms;  /* last gap in its cache events */
+	int64_t cache_seq;     /* last cache event taken in */
+	int64_t streams;       /* open runs of all entries, as reported */
+	int64_t own_open;      /* own requests open now */
+	int64_t own_at_report; /* the same at the time the report is of */
+	struct route_load_change load_changes
+		[ROUTE_MAX_LOAD_CHANGES]; /* changes of `own`, a ring */
+	unsigned nr_load_changes;
+	int64_t avoid_until_ms; /* after a failure; monotonic ms */
+	int64_t polled_ms;	/* when its load was last asked for */
 };
 
-struct route_ask {
+struct route_query {
 	const struct prefix_key *prefix;
 	uint32_t prompt_tokens;
 	uint32_t kept_tokens; /* tokens to be read again on top */
@@ -87,9 +88,9 @@
 };
 
 struct route_choice {
-	uint64_t endpoint; /* 0: none can be had */
-	double score_ms;   /* predicted time to the first token */
-	size_t cached;	   /* characters believed cached */
+	uint64_t endpoint;   /* 0: none can be had */
+	double score_ms;     /* predicted time to the first token */
+	size_t cached_chars; /* characters believed cached */
 	unsigned considered;
 	bool has_room; /* a slot that it may use is believed free */
 };
@@ -98,7 +99,7 @@
 struct route_score {
 	const struct route_endpoint *ep;
 	double ms;
-	size_t cached;
+	size_t cached_chars;
 	double load; /* sequences believed there */
 };
 
@@ -138,7 +139,7 @@
  * `*nr_scores` their number.
  */
 struct route_choice route_choose(struct route_table *t, const struct prefix *px,
-				 const struct route_ask *ask, struct rnd *rnd,
+				 const struct route_query *ask, struct rnd *rnd,
 				 int64_t now_ms, struct route_score *scores,
 				 size_t *nr_scores);
 
@@ -147,7 +148,7 @@
  * is the mean load of others over the endpoints followed.
  */
 double route_predict(const struct route_endpoint *ep, const struct prefix *px,
-		     const struct route_ask *ask, double mean_others,
+		     const struct route_query *ask, double mean_others,
 		     int64_t now_ms, size_t *cached);
 
 #endif
--- a/tests/support/sched_rest.c
+++ b/tests/support/sched_rest.c
@@ -428,8 +428,8 @@
 			}
 		}
 		for (i = 0; i < ROUTERS; i++) {
-			const struct route_ask ask = { .prompt_tokens = 100,
-						       .max_tokens = 50 };
+			const struct route_query ask = { .prompt_tokens = 100,
+							 .max_tokens = 50 };
 			const unsigned peer = rnd_below(&rnd, ROUTERS);
 			struct route_choice ch;
 
--- a/tests/test_flt.c
+++ b/tests/test_flt.c
@@ -11,15 +11,15 @@
 static struct flt_endpoint *list(struct flt *f, const char *id,
 				 const char *zone, bool draining, int64_t now)
 {
-	struct flt_info info = { .slots = 64, .leaves_ms = -1 };
-	enum flt_news news;
+	struct flt_info info = { .slots = 64, .time_left_ms = -1 };
+	enum flt_change news;
 
 	str_copy(info.id, id, sizeof(info.id));
 	str_copy(info.service, "llm", sizeof(info.service));
 	str_copy(info.zone, zone, sizeof(info.zone));
 	str_copy(info.address, "127.0.0.1:1", sizeof(info.address));
 	info.draining = draining;
-	return flt_listed(f, &info, now, &news);
+	return flt_upsert(f, &info, now, &news);
 }
 
 static unsigned expired;
@@ -52,15 +52,15 @@
 }
 
 static struct flt_endpoint *list_start(struct flt *f, const char *id,
-				       int64_t born, enum flt_news *news)
+				       int64_t born, enum flt_change *news)
 {
-	struct flt_info info = { .slots = 64, .leaves_ms = -1 };
+	struct flt_info info = { .slots = 64, .time_left_ms = -1 };
 
 	str_copy(info.id, id, sizeof(info.id));
 	str_copy(info.service, "llm", sizeof(info.service));
 	str_copy(info.address, "127.0.0.1:1", sizeof(info.address));
-	info.born_ms = born;
-	return flt_listed(f, &info, 100, news);
+	info.started_ms = born;
+	return flt_upsert(f, &info, 100, news);
 }
 
 /*
@@ -73,24 +73,24 @@
 {
 	struct flt f;
 	struct flt_endpoint *old, *e;
-	enum flt_news news;
+	enum flt_change news;
 	uint64_t hash;
 
 	flt_init(&f, NULL);
 	old = list_start(&f, "a", 1000, &news);
-	CU_ASSERT_EQUAL(news, FLT_NEW);
+	CU_ASSERT_EQUAL(news, FLT_ADDED);
 	hash = old->hash;
 	flt_ref(old); /* a request is under way there */
 	old->running = 1;
-	old->drain_ms = 50;
-	flt_note(old, FLT_UNREACHABLE, 90);
+	old->draining_since_ms = 50;
+	flt_record_outcome(old, FLT_UNREACHABLE, 90);
 	e = list_start(&f, "a", 1000, &news);
 	CU_ASSERT_PTR_EQUAL(e, old);
-	CU_ASSERT_EQUAL(news, FLT_SAME);
+	CU_ASSERT_EQUAL(news, FLT_UNCHANGED);
 	e = list_start(&f, "a", 2000, &news);
 	CU_ASSERT_EQUAL(news, FLT_RESTARTED);
 	CU_ASSERT_PTR_NOT_EQUAL(e, old);
-	CU_ASSERT(old->gone);
+	CU_ASSERT(old->removed);
 	CU_ASSERT(flt_usable(e, 100));
 	CU_ASSERT_EQUAL(e->running, 0);
 	CU_ASSERT(flt_fail_rate(e, 100) == 0);
@@ -111,17 +111,17 @@
 {
 	struct flt f;
 	struct flt_endpoint *e;
-	enum flt_news news;
+	enum flt_change news;
 
 	flt_init(&f, NULL);
 	list_start(&f, "a", 1000, &news);
 	e = list_start(&f, "b", 1000, &news);
-	CU_ASSERT(flt_unnamed(&f, "a", 100));
-	CU_ASSERT_FALSE(flt_unnamed(&f, "a", 100));
+	CU_ASSERT(flt_remove(&f, "a", 100));
+	CU_ASSERT_FALSE(flt_remove(&f, "a", 100));
 	CU_ASSERT_PTR_NULL(flt_find(&f, "a"));
 	CU_ASSERT(flt_usable(e, 100));
 	list_start(&f, "a", 1000, &news);
-	CU_ASSERT_EQUAL(news, FLT_NEW);
+	CU_ASSERT_EQUAL(news, FLT_ADDED);
 	flt_free(&f);
 }
 
@@ -134,20 +134,20 @@
 static void dropped_endpoint_leaves_from_that_moment(void)
 {
 	struct flt_endpoint *e, *before;
-	enum flt_news news;
+	enum flt_change news;
 	struct flt f;
 
 	flt_init(&f, NULL);
 	e = list(&f, "a", "z1", false, 50000);
 	flt_ref(e);
-	CU_ASSERT(flt_unnamed(&f, "a", 60000));
-	CU_ASSERT_EQUAL(flt_leaving_for(e, 60100), 100);
+	CU_ASSERT(flt_remove(&f, "a", 60000));
+	CU_ASSERT_EQUAL(flt_leaving_ms(e, 60100), 100);
 	flt_unref(&f, e);
 	before = list_start(&f, "b", 7, &news);
 	flt_ref(before);
 	list_start(&f, "b", 8, &news);
 	CU_ASSERT_EQUAL(news, FLT_RESTARTED);
-	CU_ASSERT_EQUAL(flt_leaving_for(before, before->since_ms + 20), 20);
+	CU_ASSERT_EQUAL(flt_leaving_ms(before, before->first_seen_ms + 20), 20);
 	flt_unref(&f, before);
 	flt_free(&f);
 }
@@ -160,13 +160,13 @@
 	flt_init(&f, NULL);
 	e = list(&f, "a", "z1", false, 100);
 	flt_ref(e);
-	flt_unlisted(&f, "a", 0, 200);
+	flt_mark_missing(&f, "a", 0, 200);
 	CU_ASSERT_FALSE(flt_usable(e, 200));
 	expired = 0;
 	flt_expire(&f, 200, count_expired, NULL);
 	CU_ASSERT_EQUAL(expired, 1);
 	CU_ASSERT_PTR_NULL(flt_find(&f, "a"));
-	CU_ASSERT(e->gone);
+	CU_ASSERT(e->removed);
 	flt_unref(&f, e);
 	flt_free(&f);
 }
@@ -185,11 +185,11 @@
 	flt_init(&f, NULL);
 	a = list(&f, "a", "z1", false, 100);
 	b = list(&f, "b", "z1", false, 100);
-	flt_unlisted(&f, "a", 1000, 1010);
-	flt_unlisted(&f, "b", 1000, 1010);
+	flt_mark_missing(&f, "a", 1000, 1010);
+	flt_mark_missing(&f, "b", 1000, 1010);
 	CU_ASSERT(flt_usable(a, 2000));
 	list(&f, "a", "z1", false, 2500);
-	flt_expire(&f, 1000 + FLT_LAPSE_HOLD_MS, count_expired, NULL);
+	flt_expire(&f, 1000 + FLT_LAPSE_GRACE_MS, count_expired, NULL);
 	CU_ASSERT_PTR_EQUAL(flt_find(&f, "a"), a);
 	CU_ASSERT(flt_usable(a, 5000));
 	CU_ASSERT_PTR_NULL(flt_find(&f, "b"));
@@ -212,12 +212,12 @@
 	flt_init(&f, NULL);
 	e = list(&f, "a", "z1", false, 100);
 	list(&f, "b", "z1", false, 100);
-	flt_unlisted(&f, "a", 0, 5000);
+	flt_mark_missing(&f, "a", 0, 5000);
 	CU_ASSERT_FALSE(flt_usable(e, 5000));
 	e = flt_find(&f, "b");
-	flt_unlisted(&f, "b", 4000, 5500);
-	CU_ASSERT(flt_usable(e, 4000 + FLT_LAPSE_HOLD_MS - 1));
-	CU_ASSERT_FALSE(flt_usable(e, 4000 + FLT_LAPSE_HOLD_MS));
+	flt_mark_missing(&f, "b", 4000, 5500);
+	CU_ASSERT(flt_usable(e, 4000 + FLT_LAPSE_GRACE_MS - 1));
+	CU_ASSERT_FALSE(flt_usable(e, 4000 + FLT_LAPSE_GRACE_MS));
 	flt_free(&f);
 }
 
@@ -228,7 +228,7 @@
 
 	flt_init(&f, NULL);
 	list(&f, "a", "z1", true, 100);
-	flt_unlisted(&f, "a", 990, 1000);
+	flt_mark_missing(&f, "a", 990, 1000);
 	flt_expire(&f, 1000, count_expired, NULL);
 	CU_ASSERT_PTR_NULL(flt_find(&f, "a"));
 	flt_free(&f);
@@ -242,16 +242,16 @@
 
 	flt_init(&f, NULL);
 	e = list(&f, "a", "z1", false, 0);
-	flt_note(e, FLT_UNREACHABLE, 1000);
-	first = e->aside_ms - 1000;
+	flt_record_outcome(e, FLT_UNREACHABLE, 1000);
+	first = e->backoff_until_ms - 1000;
 	CU_ASSERT_FALSE(flt_usable(e, 1001));
-	CU_ASSERT(flt_usable(e, e->aside_ms));
-	flt_note(e, FLT_UNREACHABLE, 2000);
-	second = e->aside_ms - 2000;
+	CU_ASSERT(flt_usable(e, e->backoff_until_ms));
+	flt_record_outcome(e, FLT_UNREACHABLE, 2000);
+	second = e->backoff_until_ms - 2000;
 	CU_ASSERT_EQUAL(second, 2 * first);
-	flt_note(e, FLT_GOOD, 5000);
-	flt_note(e, FLT_UNREACHABLE, 6000);
-	CU_ASSERT_EQUAL(e->aside_ms - 6000, first);
+	flt_record_outcome(e, FLT_GOOD, 5000);
+	flt_record_outcome(e, FLT_UNREACHABLE, 6000);
+	CU_ASSERT_EQUAL(e->backoff_until_ms - 6000, first);
 	flt_free(&f);
 }
 
@@ -264,7 +264,7 @@
 	flt_init(&f, NULL);
 	e = list(&f, "a", "z1", false, 0);
 	for (i = 0; i < 20; i++)
-		flt_note(e, FLT_FAILED, 1000 + i);
+		flt_record_outcome(e, FLT_FAILED, 1000 + i);
 	CU_ASSERT(flt_fail_rate(e, 1100) > 0.7);
 	CU_ASSERT(flt_fail_rate(e, 15000) < 0.1);
 	flt_free(&f);
@@ -296,7 +296,7 @@
 		.engine = true,
 		.prefix = prefix,
 		.shared_tokens = 13300,
-		.own_tokens = 3700,
+		.unshared_tokens = 3700,
 		.now_ms = 1000,
 		.parts = parts,
 	};
@@ -374,17 +374,17 @@
  */
 static void load_that_comes_and_goes_is_known_by_its_mean(void)
 {
-	struct flt_endpoint e = { .gone = false };
+	struct flt_endpoint e = { .removed = false };
 	int i;
 
 	for (i = 0; i < 100; i++) {
-		e.told_prefill_tokens = i % 2 ? 10000 : 0;
-		flt_average_told(&e, 0.9);
+		e.reported_prefill_tokens = i % 2 ? 10000 : 0;
+		flt_smooth_peer_prefill(&e, 0.9);
 	}
 	CU_ASSERT_DOUBLE_EQUAL(e.peer_prefill_tokens, 5000, 600);
-	e.told_prefill_tokens = 0;
+	e.reported_prefill_tokens = 0;
 	for (i = 0; i < 50; i++)
-		flt_average_told(&e, 0.9);
+		flt_smooth_peer_prefill(&e, 0.9);
 	CU_ASSERT(e.peer_prefill_tokens < 100);
 }
 
@@ -400,11 +400,11 @@
 	q = query(42, &parts);
 	home = pick_endpoint(&f, &q).endpoint;
 	other = flt_find(&f, strcmp(home->info.id, "e0") ? "e0" : "e1");
-	parts_used(&parts, 42, other->hash, 900);
+	parts_record(&parts, 42, other->hash, 900);
 	home->peer_running = 10;
 	CU_ASSERT_PTR_EQUAL(pick_endpoint(&f, &q).endpoint, other);
-	q.now_ms = 900 + PARTS_FRESH_MS;
-	CU_ASSERT_FALSE(parts_held(&parts, 42, other->hash, q.now_ms));
+	q.now_ms = 900 + PARTS_CACHED_MS;
+	CU_ASSERT_FALSE(parts_likely_cached(&parts, 42, other->hash, q.now_ms));
 	flt_free(&f);
 }
 
@@ -427,7 +427,8 @@
 		struct flt_endpoint *e = pick_endpoint(&f, &q).endpoint;
 
 		to_bad += e == bad;
-		flt_note(e, e == bad ? FLT_FAILED : FLT_GOOD, q.now_ms);
+		flt_record_outcome(e, e == bad ? FLT_FAILED : FLT_GOOD,
+				   q.now_ms);
 		e->running++; /* so that equal ones take turns */
 		if (e->running > 5)
 			e->running = 0;
@@ -538,29 +539,29 @@
 /* The copy that the store came back from may list it still. */
 static void what_left_is_remembered(void)
 {
-	struct flt_info info = { .id = "a", .leaves_ms = -1 };
+	struct flt_info info = { .id = "a", .time_left_ms = -1 };
 	struct flt f;
 	unsigned i;
 
 	flt_init(&f, NULL);
 	list(&f, "a", "north", false, 100);
-	CU_ASSERT_FALSE(flt_has_left(&f, &info, 100));
-	flt_unlisted(&f, "a", 0, 200);
+	CU_ASSERT_FALSE(flt_was_removed(&f, &info, 100));
+	flt_mark_missing(&f, "a", 0, 200);
 	flt_expire(&f, 200, count_expired, NULL);
-	CU_ASSERT(flt_has_left(&f, &info, 300));
-	CU_ASSERT_FALSE(flt_has_left(&f, &info, 201 + FLT_LEFT_MS));
+	CU_ASSERT(flt_was_removed(&f, &info, 300));
+	CU_ASSERT_FALSE(flt_was_removed(&f, &info, 201 + FLT_REMOVED_KEEP_MS));
 	/* Another start under the same id is another endpoint. */
-	info.born_ms = 7;
-	CU_ASSERT_FALSE(flt_has_left(&f, &info, 300));
-	info.born_ms = 0;
-	for (i = 0; i < FLT_MAX_LEFT; i++) {
+	info.started_ms = 7;
+	CU_ASSERT_FALSE(flt_was_removed(&f, &info, 300));
+	info.started_ms = 0;
+	for (i = 0; i < FLT_MAX_REMOVED; i++) {
 		char id[16];
 
 		snprintf(id, sizeof(id), "b%u", i);
 		list(&f, id, "north", false, 300);
-		flt_unnamed(&f, id, 300);
+		flt_remove(&f, id, 300);
 	}
-	CU_ASSERT_FALSE(flt_has_left(&f, &info, 300));
+	CU_ASSERT_FALSE(flt_was_removed(&f, &info, 300));
 	flt_free(&f);
 }
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -96,12 +96,12 @@
 		w->endpoint("servers/i-1", ready, strlen(ready), &info, &e), 0);
 	CU_ASSERT_STRING_EQUAL(info.id, "i-1");
 	CU_ASSERT_FALSE(info.draining);
-	CU_ASSERT_EQUAL(info.leaves_ms, -1);
+	CU_ASSERT_EQUAL(info.time_left_ms, -1);
 	CU_ASSERT_EQUAL(w->endpoint("servers/i-1", leaving, strlen(leaving),
 				    &info, &e),
 			0);
 	CU_ASSERT(info.draining && info.reclaimable);
-	CU_ASSERT_EQUAL(info.leaves_ms, 2500);
+	CU_ASSERT_EQUAL(info.time_left_ms, 2500);
 	CU_ASSERT_EQUAL(w->endpoint("servers/i-1", "{}", 2, &info, &e), -1);
 	CU_ASSERT_EQUAL(w->endpoint("servers/i-1", "x", 1, &info, &e), -1);
 }
@@ -171,7 +171,7 @@
 				-1);
 	CU_ASSERT_EQUAL(
 		w->endpoint("servers/i-1", good, strlen(good), &info, &e), 0);
-	CU_ASSERT_EQUAL(info.born_ms, 1790000000123);
+	CU_ASSERT_EQUAL(info.started_ms, 1790000000123);
 }
 
 /* ---- Requests ---- */
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -628,7 +628,7 @@
 	r.stage = ROL_COMPLETED;
 	r.changed_ms = 50000;
 	CU_ASSERT_EQUAL(rol_use(&r, "v1", &v1, false), FLT_WITHHELD);
-	v1.born_ms = 60000; /* started after the others were stopped */
+	v1.started_ms = 60000; /* started after the others were stopped */
 	CU_ASSERT_EQUAL(rol_use(&r, "v1", &v1, false), FLT_IN_USE);
 	rol_roll_back(&r, "", 1);
 	CU_ASSERT_EQUAL(rol_use(&r, "v1", &v2, true), FLT_WITHHELD);
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -42,7 +42,7 @@
 	for (i = 0; i < n; i++) {
 		for (k = 0; text[k] && texts[i][k] == text[k]; k++)
 			;
-		k = k / PREFIX_BLOCK * PREFIX_BLOCK;
+		k = k / PREFIX_BLOCK_CHARS * PREFIX_BLOCK_CHARS;
 		if (who[i] == endpoint_id && k > best)
 			best = k;
 	}
@@ -67,10 +67,10 @@
 			memcpy(texts[i], texts[rnd_below(&rnd, (uint32_t)i)],
 			       keep);
 		who[i] = 1 + rnd_below(&rnd, 3);
-		prefix_cut(&k, texts[i], 2048, 1);
+		prefix_key_init(&k, texts[i], 2048, 1);
 		CU_ASSERT_EQUAL(prefix_match(p, &k, who[i], 0),
 				naive_match(texts, who, i, texts[i], who[i]));
-		prefix_learn(p, &k, who[i], (int64_t)i + 1);
+		prefix_insert(p, &k, who[i], (int64_t)i + 1);
 	}
 	prefix_free(p);
 }
@@ -85,9 +85,9 @@
 
 	rnd_seed(&rnd, 1);
 	random_text(&rnd, text, 512);
-	prefix_cut(&k, text, 512, 1);
-	prefix_cut(&other, text, 512, 2);
-	prefix_learn(p, &k, 7, 100);
+	prefix_key_init(&k, text, 512, 1);
+	prefix_key_init(&other, text, 512, 2);
+	prefix_insert(p, &k, 7, 100);
 	CU_ASSERT_EQUAL(prefix_match(p, &k, 7, 100), 512);
 	/* A gap in the engine's events: what came before counts no more. */
 	CU_ASSERT_EQUAL(prefix_match(p, &k, 7, 101), 0);
@@ -102,7 +102,7 @@
 
 /* The naive twin scores every endpoint there is, with the same formula. */
 static double naive_best(struct route_endpoint *eps, size_t n,
-			 const struct prefix *px, const struct route_ask *ask,
+			 const struct prefix *px, const struct route_query *ask,
 			 int64_t now)
 {
 	double best = INFINITY, mean = 0, usable = 0;
@@ -117,7 +117,7 @@
 	mean = usable > 0 ? mean / usable : 0;
 	for (i = 0; i < n; i++) {
 		if (eps[i].ready && !eps[i].leaving &&
-		    eps[i].id != ask->avoid && now >= eps[i].avoid_until)
+		    eps[i].id != ask->avoid && now >= eps[i].avoid_until_ms)
 			best = fmin(best, route_predict(&eps[i], px, ask, mean,
 							now, &cached));
 	}
@@ -137,16 +137,16 @@
 		const size_t n = 1 + rnd_below(&rnd, 12);
 		struct prefix_key key;
 		char text[1025];
-		struct route_ask ask = { .prefix = &key,
-					 .prompt_tokens = 256,
-					 .max_tokens = 64,
-					 .recompute_weight = 0.5 };
+		struct route_query ask = { .prefix = &key,
+					   .prompt_tokens = 256,
+					   .max_tokens = 64,
+					   .recompute_weight = 0.5 };
 		struct route_choice c;
 		double best;
 		size_t i;
 
 		random_text(&rnd, text, 1024);
-		prefix_cut(&key, text, 1024, 1);
+		prefix_key_init(&key, text, 1024, 1);
 		for (i = 0; i < n; i++) {
 			eps[i] = endpoint(i + 1);
 			eps[i].leaving = rnd_below(&rnd, 5) == 0;
@@ -157,7 +157,7 @@
 			eps[i].risk_per_s = rnd_below(&rnd, 2) / 100.0;
 			*route_put(t, &eps[i]) = eps[i];
 		}
-		prefix_learn(px, &key, 1 + rnd_below(&rnd, (uint32_t)n), 1000);
+		prefix_insert(px, &key, 1 + rnd_below(&rnd, (uint32_t)n), 1000);
 		route_refresh(t);
 		c = route_choose(t, px, &ask, &rnd, 1200, NULL, NULL);
 		best = naive_best(eps, n, px, &ask, 1200);
@@ -180,7 +180,8 @@
 static void no_herding(void)
 {
 	unsigned got[11] = { 0 }, most = 0, e, i;
-	const struct route_ask ask = { .prompt_tokens = 64, .max_tokens = 32 };
+	const struct route_query ask = { .prompt_tokens = 64,
+					 .max_tokens = 32 };
 	struct rnd rnd;
 
 	for (e = 0; e < 6; e++) {
@@ -214,7 +215,8 @@
 static void own_deltas(void)
 {
 	struct route_table *t = route_create(1, 8);
-	const struct route_ask ask = { .prompt_tokens = 64, .max_tokens = 64 };
+	const struct route_query ask = { .prompt_tokens = 64,
+					 .max_tokens = 64 };
 	struct route_endpoint a = endpoint(1), b = endpoint(2);
 	struct rnd rnd;
 	unsigned to[3] = { 0 }, i;
@@ -253,7 +255,7 @@
 {
 	struct route_table *t = route_create(1, 8);
 	struct route_endpoint a = endpoint(1);
-	struct route_ask ask = { .prompt_tokens = 1, .avoid = 1 };
+	struct route_query ask = { .prompt_tokens = 1, .avoid = 1 };
 	struct rnd rnd;
 
 	rnd_seed(&rnd, 1);
