--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -18,8 +18,8 @@
 };
 
 struct edge_order {
-	char service[FLT_NAME_SIZE];
-	char zone[FLT_NAME_SIZE];
+	char service[FLT_NAME];
+	char zone[FLT_NAME];
 	bool reclaimable;
 	int number; /* last order that was accepted; -1: none */
 	int64_t accepted_ms;
@@ -28,7 +28,7 @@
 
 /* What the plan of one service carries from look to look. */
 struct edge_scaled {
-	char service[FLT_NAME_SIZE];
+	char service[FLT_NAME];
 	struct scale_need need;
 	double firm_held; /* of those that stay, see scale_ease */
 	int64_t eased_ms;
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -65,7 +65,7 @@
 };
 
 struct edge_budget {
-	char service[FLT_NAME_SIZE];
+	char service[FLT_NAME];
 	struct again again;
 };
 
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -260,7 +260,7 @@
 	}
 	if (en->nr_budgets == EDGE_SERVICES)
 		return &en->budgets[0];
-	str_copy(en->budgets[i].service, service, FLT_NAME_SIZE);
+	str_copy(en->budgets[i].service, service, FLT_NAME);
 	en->nr_budgets++;
 	return &en->budgets[i];
 }
--- a/lib/edge/edge_rollout_internal.h
+++ b/lib/edge/edge_rollout_internal.h
@@ -16,9 +16,8 @@
 /* Roll-out state of a service. */
 struct edge_rollout {
 	struct cds_list_head node; /* in edge.rollouts */
-	char service[FLT_NAME_SIZE];
-	char established
-		[FLT_NAME_SIZE];     /* version that serves; "": none listed */
+	char service[FLT_NAME];
+	char established[FLT_NAME];  /* version that serves; "": none listed */
 	int64_t established_born_ms; /* start of its first endpoint */
 	bool uses_outdated;	     /* listed endpoints await an update */
 	int64_t uses_updated_ms;
--- a/lib/fleet/flt.h
+++ b/lib/fleet/flt.h
@@ -25,7 +25,7 @@
 #include "base/tab.h"
 
 /* Size of name buffers in bytes, including the terminating NUL. */
-#define FLT_NAME_SIZE 64
+#define FLT_NAME 64
 
 /*
  * Grace period after the store returns from an outage, in ms. Live endpoints
@@ -36,12 +36,12 @@
 
 /* An endpoint as described by its list entry. */
 struct flt_info {
-	char id[FLT_NAME_SIZE]; /* a later start may reuse it */
-	int64_t started_ms;	/* start, Unix time; 0: not stated */
-	char service[FLT_NAME_SIZE];
-	char address[32];	     /* IP:PORT */
-	char version[FLT_NAME_SIZE]; /* of the software; "": not stated */
-	char zone[FLT_NAME_SIZE];
+	char id[FLT_NAME];  /* a later start may reuse it */
+	int64_t started_ms; /* start, Unix time; 0: not stated */
+	char service[FLT_NAME];
+	char address[32];	/* IP:PORT */
+	char version[FLT_NAME]; /* of the software; "": not stated */
+	char zone[FLT_NAME];
 	int slots; /* requests that it runs at the same time */
 	bool draining;
 	bool reclaimable;     /* on a spot instance */
--- a/lib/rollout/rollout.c
+++ b/lib/rollout/rollout.c
@@ -443,9 +443,9 @@
 	memset(out, 0, sizeof(*out));
 	if (!o)
 		return false;
-	str_copy(out->service, jsn_str(o, "service", ""), FLT_NAME_SIZE);
-	str_copy(out->target, jsn_str(o, "target", ""), FLT_NAME_SIZE);
-	str_copy(out->from, jsn_str(o, "from", ""), FLT_NAME_SIZE);
+	str_copy(out->service, jsn_str(o, "service", ""), FLT_NAME);
+	str_copy(out->target, jsn_str(o, "target", ""), FLT_NAME);
+	str_copy(out->from, jsn_str(o, "from", ""), FLT_NAME);
 	str_copy(out->why, jsn_str(o, "why", ""), sizeof(out->why));
 	out->order = jsn_int(o, "order", 0);
 	out->began_ms = jsn_int(o, "began_ms", 0);
--- a/lib/rollout/rollout.h
+++ b/lib/rollout/rollout.h
@@ -36,8 +36,8 @@
 /* An operator's order. */
 struct rol_order {
 	int64_t version; /* of the order in the store */
-	char service[FLT_NAME_SIZE];
-	char target[FLT_NAME_SIZE]; /* version to be run */
+	char service[FLT_NAME];
+	char target[FLT_NAME]; /* version to be run */
 	int64_t within_ms;
 };
 
@@ -51,11 +51,11 @@
 };
 
 struct rol_record {
-	char service[FLT_NAME_SIZE];
-	char target[FLT_NAME_SIZE];
-	char from[FLT_NAME_SIZE]; /* the version that served before */
-	int64_t order;	  /* version of the order in the store; 0: none */
-	int64_t began_ms; /* time of day */
+	char service[FLT_NAME];
+	char target[FLT_NAME];
+	char from[FLT_NAME]; /* the version that served before */
+	int64_t order;	     /* version of the order in the store; 0: none */
+	int64_t began_ms;    /* time of day */
 	int64_t within_ms;
 	int64_t changed_ms; /* time of day of the last step */
 	enum rol_stage stage;
--- a/lib/route/route.c
+++ b/lib/route/route.c
@@ -214,16 +214,16 @@
 /* This entry's open requests at a moment a little ago. */
 static int64_t own_at(const struct route_endpoint *ep, int64_t at_ms)
 {
-	const unsigned kept = ep->nr_load_changes < ROUTE_MAX_LOAD_CHANGES
+	const unsigned kept = ep->nr_load_changes < ROUTE_MAX_CHANGES
 				      ? ep->nr_load_changes
-				      : ROUTE_MAX_LOAD_CHANGES;
+				      : ROUTE_MAX_CHANGES;
 	int64_t own = ep->own_open;
 	unsigned i;
 
 	for (i = 1; i <= kept; i++) {
 		const struct route_load_change *p =
 			&ep->load_changes[(ep->nr_load_changes - i) %
-					  ROUTE_MAX_LOAD_CHANGES];
+					  ROUTE_MAX_CHANGES];
 
 		if (p->at_ms <= at_ms)
 			break;
@@ -247,8 +247,8 @@
 
 static void change_own(struct route_endpoint *ep, int64_t by, int64_t now_ms)
 {
-	struct route_load_change *p = &ep->load_changes[ep->nr_load_changes++ %
-							ROUTE_MAX_LOAD_CHANGES];
+	struct route_load_change *p =
+		&ep->load_changes[ep->nr_load_changes++ % ROUTE_MAX_CHANGES];
 
 	p->at_ms = now_ms;
 	p->own_before = ep->own_open;
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -35,7 +35,7 @@
 #define ROUTE_ADDR_MAX 64
 
 /* Changes of an entry's own load that are kept: a second's worth or two. */
-#define ROUTE_MAX_LOAD_CHANGES 32
+#define ROUTE_MAX_CHANGES 32
 
 struct route_load_change {
 	int64_t at_ms;
@@ -68,8 +68,8 @@
 	int64_t streams;       /* open runs of all entries, as reported */
 	int64_t own_open;      /* own requests open now */
 	int64_t own_at_report; /* the same at the time the report is of */
-	struct route_load_change load_changes
-		[ROUTE_MAX_LOAD_CHANGES]; /* changes of `own`, a ring */
+	struct route_load_change
+		load_changes[ROUTE_MAX_CHANGES]; /* changes of `own`, a ring */
 	unsigned nr_load_changes;
 	int64_t avoid_until_ms; /* after a failure; monotonic ms */
 	int64_t polled_ms;	/* when its load was last asked for */
