--- a/lib/route/pick.c
+++ b/lib/route/pick.c
@@ -5,29 +5,29 @@
 #include "base/hsh.h"
 
 /*
- * A long prompt delays the requests that run beside it: the engine reads a chunk
- * between two steps. Each running request counts for this part of the time in
- * which a usual prompt is read.
+ * Prefill of a long prompt delays the requests in the same batch, since the
+ * engine processes a chunk of it between two decoding steps. Each running
+ * request costs this fraction of the prefill time of a typical prompt.
  */
-#define RUN_PART 0.115
+#define RUNNING_PREFILL_FRACTION 0.115
 
 /*
- * Reading a shared prefix again takes the endpoint's time from all others: it
- * counts for this much more than the wait that it causes.
+ * Repeated prefill of a shared part takes time from all requests of the
+ * endpoint: it costs this fraction of its duration in addition to the wait.
  */
-#define REREAD_EXTRA 0.5
+#define REPEATED_PREFILL_PENALTY 0.5
 
-/* What one failure costs a caller, against which waiting is weighed. */
+/* Cost of a failure to a caller, as an equivalent waiting time. */
 #define FAILURE_COST_MS 2500.0
 
-/* Beyond its zone: a round trip more, and priced bytes. */
-#define OTHER_ZONE_MS 2.0
+/* Cost of another zone: an additional round trip, and charges per byte. */
+#define OTHER_ZONE_COST_MS 2.0
 
 /*
- * A first choice by hash that nobody of us has used is taken to hold the
- * part with this chance: other entries send their requests there.
+ * Probability that the first choice by hash has a shared part cached although
+ * this entry did not send it there recently: other entries may have done so.
  */
-#define HASHED_CHANCE 0.7
+#define FIRST_CHOICE_CACHED_PROBABILITY 0.7
 
 /*
  * Load reports from other entries arrive with a delay; without sampling, many
@@ -48,15 +48,16 @@
 	return false;
 }
 
-static bool candidate(const struct pick_query *q, const struct flt_endpoint *e)
+static bool is_candidate(const struct pick_query *q,
+			 const struct flt_endpoint *e)
 {
 	return e->use == q->use && !strcmp(e->info.service, q->service) &&
 	       flt_usable(e, q->now_ms) && !excluded(q, e);
 }
 
-/* The first choice by hash among the candidates. */
-static const struct flt_endpoint *home(struct flt *f,
-				       const struct pick_query *q)
+/* Returns the first choice for the shared part, by rendezvous hashing. */
+static const struct flt_endpoint *first_choice(struct flt *f,
+					       const struct pick_query *q)
 {
 	const struct flt_endpoint *best = NULL;
 	struct flt_endpoint *e;
@@ -65,7 +66,7 @@
 	if (!q->prefix)
 		return NULL;
 	cds_list_for_each_entry(e, &f->endpoints, node) {
-		if (!candidate(q, e))
+		if (!is_candidate(q, e))
 			continue;
 		weight = hsh_rendezvous(q->prefix, e->hash);
 		if (!best || weight > most) {
@@ -87,25 +88,27 @@
 	};
 }
 
-static double chance_cached(const struct pick_query *q,
-			    const struct flt_endpoint *e, bool is_home)
+static double cached_probability(const struct pick_query *q,
+				 const struct flt_endpoint *e,
+				 bool is_first_choice)
 {
 	if (!q->prefix)
 		return 0;
 	if (q->parts &&
 	    parts_likely_cached(q->parts, q->prefix, e->hash, q->now_ms))
 		return 1;
-	return is_home ? HASHED_CHANCE : 0;
+	return is_first_choice ? FIRST_CHOICE_CACHED_PROBABILITY : 0;
 }
 
 /*
- * An endpoint with a request that may end it costs this much, and in the
- * choice for such a request so does each one that runs there: more than any
- * wait, and not out of the question where nothing else is left.
+ * Cost of an endpoint that runs a request suspected to crash it. If the request
+ * to be sent is suspected, each request that runs there costs as much. More
+ * than any wait, but such an endpoint is still chosen if there is no other one.
  */
 #define SUSPECT_COST_MS 1e6
 
-static double risk_of(const struct pick_query *q, const struct flt_endpoint *e)
+static double crash_risk_cost(const struct pick_query *q,
+			      const struct flt_endpoint *e)
 {
 	double at_risk = e->suspect_runs > 0;
 
@@ -115,18 +118,19 @@
 }
 
 static double cost_of(const struct pick_query *q, const struct flt_endpoint *e,
-		      double cached, struct pick_result *r)
+		      double p_cached, struct pick_result *r)
 {
-	const double again = q->shared_tokens * (1 - cached);
+	const double repeated_tokens = q->shared_tokens * (1 - p_cached);
 	double cost;
 
-	r->state = state_of(e, q->unshared_tokens + again);
+	r->state = state_of(e, q->unshared_tokens + repeated_tokens);
 	if (q->engine) {
 		r->wait_ms = svc_first_ms(q->model, &r->state);
 		cost = r->wait_ms +
-		       r->state.running * RUN_PART *
+		       r->state.running * RUNNING_PREFILL_FRACTION *
 			       svc_read_ms(q->model, q->model->read_usual) +
-		       REREAD_EXTRA * svc_read_ms(q->model, again);
+		       REPEATED_PREFILL_PENALTY *
+			       svc_read_ms(q->model, repeated_tokens);
 	} else {
 		r->wait_ms = svc_answer_ms(q->model, &r->state);
 		cost = r->wait_ms;
@@ -134,8 +138,8 @@
 	if (!q->ignore_failures)
 		cost += flt_fail_rate(e, q->now_ms) * FAILURE_COST_MS;
 	if (strcmp(e->info.zone, q->zone))
-		cost += OTHER_ZONE_MS;
-	return cost + risk_of(q, e);
+		cost += OTHER_ZONE_COST_MS;
+	return cost + crash_risk_cost(q, e);
 }
 
 static unsigned count_candidates(struct flt *f, const struct pick_query *q)
@@ -144,7 +148,7 @@
 	unsigned n = 0;
 
 	cds_list_for_each_entry(e, &f->endpoints, node)
-		n += candidate(q, e);
+		n += is_candidate(q, e);
 	return n;
 }
 
@@ -167,30 +171,30 @@
 
 struct pick_result pick_endpoint(struct flt *f, const struct pick_query *q)
 {
-	const struct flt_endpoint *first = home(f, q);
+	const struct flt_endpoint *first = first_choice(f, q);
 	struct pick_result best = { .endpoint = NULL }, r;
 	struct flt_endpoint *e;
 	const unsigned candidates = count_candidates(f, q);
 	const double probability = sampling_probability(q, candidates);
 	unsigned remaining = candidates;
-	double cached;
+	double p_cached;
 
 	cds_list_for_each_entry(e, &f->endpoints, node) {
-		if (!candidate(q, e))
+		if (!is_candidate(q, e))
 			continue;
 		remaining--;
-		cached = chance_cached(q, e, e == first);
+		p_cached = cached_probability(q, e, e == first);
 		/* Falls back to the last candidate if the sample is empty. */
-		if (!cached && !in_sample(q, e, probability) &&
+		if (!p_cached && !in_sample(q, e, probability) &&
 		    (best.endpoint || remaining))
 			continue;
-		r.cost_ms = cost_of(q, e, cached, &r);
+		r.cost_ms = cost_of(q, e, p_cached, &r);
 		if (best.endpoint && r.cost_ms >= best.cost_ms)
 			continue;
 		best = r;
 		best.endpoint = e;
-		best.cached = cached > 0;
-		best.cache_certain = cached >= 1 || !q->shared_tokens;
+		best.cached = p_cached > 0;
+		best.cache_certain = p_cached >= 1 || !q->shared_tokens;
 	}
 	best.candidates = candidates;
 	return best;
--- a/lib/route/pick.h
+++ b/lib/route/pick.h
@@ -1,16 +1,16 @@
 /*
- * pick: which endpoint gets a request.
+ * pick: chooses the endpoint for a request.
  *
- * Each usable endpoint is given a cost in milliseconds: the time until the
- * first event as predicted from what is running and waiting there, the part
- * of the prompt that it would have to read anew, and what failures there
- * have cost lately. The lowest cost wins. With many sending peers, only the
- * endpoints that may hold the prompt's shared part and a random sample are
- * considered.
+ * Each usable endpoint has a cost in ms: the predicted time to the first event,
+ * given the requests that run and wait there, plus penalties for prompt tokens
+ * that it has to prefill although another endpoint has them cached, and for its
+ * recent failures. The endpoint with the lowest cost is chosen. If many peers
+ * send requests, only endpoints that may have the prompt's shared part cached
+ * and a random sample are considered.
  *
- * Which endpoint holds a shared part of a prompt follows from rendezvous
- * hashing of that part: all entries expect it at the same place without a
- * word between them, and spill along the same order under load.
+ * The first choice for a shared part is determined by rendezvous hashing. All
+ * entries agree on it without communication, and under load they go on to other
+ * endpoints in the same order.
  */
 #ifndef PICK_H
 #define PICK_H
@@ -23,35 +23,40 @@
 
 #define PICK_MAX_EXCLUDED 8
 
+/* Describes the request. Pointers are borrowed for the call. */
 struct pick_query {
 	const char *service;
-	const struct svc *model; /* what its answers showed */
+	const struct svc *model; /* learned latency model of the service */
 	const char *zone;	 /* of this entry */
-	bool engine;		 /* batches, caches prompts */
+	bool engine;		 /* model engine: batches, caches prompts */
 	uint64_t prefix;	 /* hash of the shared part; 0: none */
-	double shared_tokens;	 /* of the prompt, that others may have read */
-	double unshared_tokens;	 /* of the prompt, that nobody has read */
+	double shared_tokens;	 /* of the shared part */
+	double unshared_tokens;	 /* of the rest, cached nowhere */
 	int64_t now_ms;
 	const struct flt_endpoint *excluded[PICK_MAX_EXCLUDED];
 	unsigned nr_excluded;
-	bool ignore_failures;
+	bool ignore_failures;	/* no penalty for recent failures */
 	uint64_t sample_seed;	/* differs for each send; 0 disables sampling */
 	unsigned sending_peers; /* other entries that send requests */
-	bool isolate; /* it may end the endpoint: away from other requests */
-	enum flt_use use;    /* endpoints that may be picked */
-	struct parts *parts; /* where shared parts were sent lately */
+	bool isolate;	  /* suspected to crash endpoints: away from others */
+	enum flt_use use; /* endpoints that may be picked */
+	struct parts *parts; /* where shared parts were sent; may be NULL */
 };
 
 struct pick_result {
 	struct flt_endpoint *endpoint; /* NULL: none is usable */
-	struct svc_state state; /* the endpoint, and what it has to read */
+	struct svc_state state; /* assumed load and prefill of the endpoint */
 	double cost_ms;
-	double wait_ms;	    /* predicted time to the first event or answer */
-	bool cached;	    /* the shared part is expected there */
-	bool cache_certain; /* and was sent there lately, or there is none */
-	unsigned candidates;
+	double wait_ms;	     /* predicted time to the first event or answer */
+	bool cached;	     /* the endpoint may have the shared part cached */
+	bool cache_certain;  /* it was sent there recently, or is empty */
+	unsigned candidates; /* usable endpoints, also those not sampled */
 };
 
+/*
+ * Returns the endpoint with the lowest cost. The result is owned by `f`; take a
+ * reference to keep it.
+ */
 struct pick_result pick_endpoint(struct flt *f, const struct pick_query *q);
 
 #endif
--- a/lib/route/prefix.c
+++ b/lib/route/prefix.c
@@ -55,15 +55,15 @@
 }
 
 /*
- * Direct-mapped: a new block simply takes the place of another. An index that
- * is wrong now and then costs some prefill, never a wrong answer.
+ * The index is direct-mapped: a new block replaces the block in its slot. A
+ * wrong prediction costs some prefill but does not affect answers.
  */
 static struct block *slot_of(const struct prefix *p, uint64_t hash)
 {
 	return (struct block *)&p->blocks[hash & p->mask];
 }
 
-static struct holder *find_way(struct block *b, uint64_t endpoint)
+static struct holder *find_holder(struct block *b, uint64_t endpoint)
 {
 	unsigned i;
 
@@ -74,7 +74,7 @@
 	return NULL;
 }
 
-static struct holder *oldest_way(struct block *b)
+static struct holder *oldest_holder(struct block *b)
 {
 	struct holder *old = &b->ways[0];
 	unsigned i;
@@ -99,23 +99,23 @@
 			memset(b, 0, sizeof(*b));
 			b->hash = k->block[i];
 		}
-		w = find_way(b, endpoint);
+		w = find_holder(b, endpoint);
 		if (!w)
-			w = oldest_way(b);
+			w = oldest_holder(b);
 		w->endpoint = endpoint;
 		w->at_ms = now_ms;
 	}
 }
 
-static bool holds(const struct prefix *p, uint64_t hash, uint64_t endpoint,
-		  int64_t since_ms)
+static bool is_cached(const struct prefix *p, uint64_t hash, uint64_t endpoint,
+		      int64_t since_ms)
 {
 	struct block *b = slot_of(p, hash);
 	const struct holder *w;
 
 	if (b->hash != hash)
 		return false;
-	w = find_way(b, endpoint);
+	w = find_holder(b, endpoint);
 	return w && w->at_ms >= since_ms;
 }
 
@@ -124,11 +124,13 @@
 {
 	unsigned lo = 0, hi = k->nr;
 
-	/* Holding a block implies holding those before it: bisect. */
+	/*
+	 * A cached block implies that all blocks before it are cached: bisect.
+	 */
 	while (lo < hi) {
 		const unsigned mid = (lo + hi) / 2;
 
-		if (holds(p, k->block[mid], endpoint, since_ms))
+		if (is_cached(p, k->block[mid], endpoint, since_ms))
 			lo = mid + 1;
 		else
 			hi = mid;
@@ -142,7 +144,7 @@
 	size_t n = 0;
 	unsigned i, w;
 
-	/* From the longest match down: the best holders come first. */
+	/* Starts at the last block and stops at the longest match. */
 	for (i = k->nr; i-- > 0 && n < max;) {
 		const struct block *b = slot_of(p, k->block[i]);
 
--- a/lib/route/route.c
+++ b/lib/route/route.c
@@ -8,25 +8,27 @@
 #include "base/buf.h"
 #include "base/hsh.h"
 
-/* Characters per token of the texts we serve, for prompt estimates. */
+/* Typical characters per token of the served texts, to estimate prompts. */
 #define CHARS_PER_TOKEN 4.0
 
 /*
- * How fast a report fades: after answer / FADE a third of it is left. Of 0
- * (trusted fully) to 16, 4 and 8 were best: docs/design/routing.md.
+ * Decay rate of a load report: after the duration of an answer divided by this,
+ * its weight is about a third (1/e). Of values from 0 (no decay) to 16, 4 and 8
+ * were best: docs/design/routing.md.
  */
-#define FADE 4.0
+#define REPORT_DECAY 4.0
 
-/* Extra cost of crossing zones, about twice the millisecond one way. */
-#define ZONE_MS 2.0
+/* Cost of another zone: about 1 ms of latency in each direction. */
+#define OTHER_ZONE_MS 2.0
 
-/* Load reports older than this are worth nothing; assume half full. */
-#define STALE_MS 15000
+/* Older load reports are ignored, and half of the slots assumed in use. */
+#define MAX_REPORT_AGE_MS 15000
 
-/* Even a fresh report may be wrong by a sequence now and then. */
-#define LEAST_VARIANCE 0.25
+/* Minimum variance of a load: even a new report may be off by a sequence. */
+#define MIN_VARIANCE 0.25
 #define INV_SQRT_2PI 0.3989422804014327
 
+/* Endpoints with the prompt's prefix, considered also outside the subset. */
 #define EXTRA_HOLDERS 4
 #define MAX_CANDIDATES ROUTE_MAX_SCORES
 
@@ -41,7 +43,7 @@
 	size_t nr;
 	struct node **nodes;
 	size_t index_mask;
-	uint16_t *index; /* open addressing by id; 0 is empty, else i + 1 */
+	uint16_t *index; /* open addressing by id; 0: empty, else i + 1 */
 	struct route_endpoint *subset[ROUTE_SUBSET];
 	size_t nr_subset;
 };
@@ -117,8 +119,8 @@
 	return t->nr;
 }
 
-static void copy_facts(struct route_endpoint *dst,
-		       const struct route_endpoint *src)
+static void update_endpoint(struct route_endpoint *dst,
+			    const struct route_endpoint *src)
 {
 	const struct route_endpoint old = *dst;
 
@@ -143,7 +145,7 @@
 	struct node *n = find_node(t, ep->id);
 
 	if (n) {
-		copy_facts(&n->ep, ep);
+		update_endpoint(&n->ep, ep);
 		return &n->ep;
 	}
 	if (t->nr == t->max)
@@ -175,13 +177,16 @@
 	route_refresh(t);
 }
 
-/* Leaving endpoints make room in the subset for those that take work. */
+/*
+ * Reduces the weight of endpoints that accept no requests, so that others take
+ * their places in the subset.
+ */
 static uint64_t subset_weight(const struct node *n)
 {
 	return n->ep.leaving || !n->ep.ready ? n->weight >> 8 : n->weight;
 }
 
-static int heavier(const void *a, const void *b)
+static int compare_weights(const void *a, const void *b)
 {
 	const uint64_t x = subset_weight(*(struct node *const *)a);
 	const uint64_t y = subset_weight(*(struct node *const *)b);
@@ -196,7 +201,7 @@
 
 	if (t->nr)
 		memcpy(order, t->nodes, t->nr * sizeof(*order));
-	qsort(order, t->nr, sizeof(*order), heavier);
+	qsort(order, t->nr, sizeof(*order), compare_weights);
 	t->nr_subset = t->nr < ROUTE_SUBSET ? t->nr : ROUTE_SUBSET;
 	for (i = 0; i < t->nr_subset; i++)
 		t->subset[i] = &order[i]->ep;
@@ -211,8 +216,8 @@
 
 /* ---- Load ---- */
 
-/* This entry's open requests at a moment a little ago. */
-static int64_t own_at(const struct route_endpoint *ep, int64_t at_ms)
+/* Returns this entry's open requests at a recent time, from the changes. */
+static int64_t own_open_at(const struct route_endpoint *ep, int64_t at_ms)
 {
 	const unsigned kept = ep->nr_load_changes < ROUTE_MAX_CHANGES
 				      ? ep->nr_load_changes
@@ -242,10 +247,11 @@
 	ep->report_ms = as_of;
 	ep->running = running;
 	ep->waiting = waiting;
-	ep->own_at_report = own_at(ep, as_of);
+	ep->own_at_report = own_open_at(ep, as_of);
 }
 
-static void change_own(struct route_endpoint *ep, int64_t by, int64_t now_ms)
+static void change_own_open(struct route_endpoint *ep, int64_t by,
+			    int64_t now_ms)
 {
 	struct route_load_change *p =
 		&ep->load_changes[ep->nr_load_changes++ % ROUTE_MAX_CHANGES];
@@ -257,51 +263,52 @@
 
 void route_sent(struct route_endpoint *ep, int64_t now_ms)
 {
-	change_own(ep, 1, now_ms);
+	change_own_open(ep, 1, now_ms);
 }
 
 void route_done(struct route_endpoint *ep, int64_t now_ms)
 {
 	if (ep->own_open > 0)
-		change_own(ep, -1, now_ms);
+		change_own_open(ep, -1, now_ms);
 }
 
 /* ---- Scores ---- */
 
-/* What others had there when the report was made. */
+/* Load of other entries at the time of the report, in sequences. */
 static double reported_others(const struct route_endpoint *ep, int64_t now_ms)
 {
 	const double n =
 		(double)(ep->running + ep->waiting - ep->own_at_report);
 
-	if (!ep->report_ms || now_ms - ep->report_ms > STALE_MS)
+	if (!ep->report_ms || now_ms - ep->report_ms > MAX_REPORT_AGE_MS)
 		return (double)ep->slots * 0.5;
 	return n > 0 ? n : 0;
 }
 
 /*
- * What others have there now. Sequences come and go, and every entry that saw
- * the same report acts on it, so an old report says little of one replica:
- * what it had above or below the mean fades with the report's age. A choice
- * that trusts it fully does worse than round robin (docs/design/routing.md).
+ * Estimates the current load of other entries, in sequences. Sequences start
+ * and end, and all entries react to the same report, so that an old report says
+ * little about a single replica: its deviation from the mean decays with the
+ * age of the report. Without decay, the choice is worse than round robin
+ * (docs/design/routing.md).
  */
 static double others_load(const struct route_endpoint *ep, double mean,
 			  double answer_ms, int64_t now_ms)
 {
 	const double age = (double)(now_ms - ep->report_ms);
-	const double trust = exp(-FADE * age / answer_ms);
+	const double weight = exp(-REPORT_DECAY * age / answer_ms);
 
-	return mean + trust * (reported_others(ep, now_ms) - mean);
+	return mean + weight * (reported_others(ep, now_ms) - mean);
 }
 
 /*
- * Sequences beyond the slots that must be expected, if the load is spread
- * around its estimate like a normal variable. Without it a replica filled to
- * its last slot looks as good as an empty one, and is filled.
+ * Expected number of sequences beyond the slots, if the load is normally
+ * distributed around its estimate. Without this, a replica with one free slot
+ * would look as good as an empty one, and would be filled.
  */
-static double expected_over(double load, double others, double slots)
+static double expected_overload(double load, double others, double slots)
 {
-	const double sd = sqrt(others + LEAST_VARIANCE);
+	const double sd = sqrt(others + MIN_VARIANCE);
 	const double d = load + 1.0 - slots;
 	const double z = d / sd;
 
@@ -310,72 +317,69 @@
 }
 
 double route_predict(const struct route_endpoint *ep, const struct prefix *px,
-		     const struct route_query *ask, double mean_others,
+		     const struct route_query *q, double mean_others,
 		     int64_t now_ms, size_t *cached)
 {
 	const double slots = (double)(ep->slots > 0 ? ep->slots : 1);
 	const double per_seq = ep->tokens_per_s / slots;
-	const double tokens = ask->max_tokens ? ask->max_tokens : 256.0;
+	const double tokens = q->max_tokens ? q->max_tokens : 256.0;
 	const double answer_ms = tokens / per_seq * 1000.0;
 	const double others = others_load(ep, mean_others, answer_ms, now_ms);
 	const double load = others + (double)ep->own_open;
 	double uncached, ms = 0;
 
-	*cached = ask->prefix ? prefix_match(px, ask->prefix, ep->id,
-					     ep->cache_gap_ms)
-			      : 0;
-	uncached = ask->prompt_tokens - (double)*cached / CHARS_PER_TOKEN;
+	*cached = q->prefix ? prefix_match(px, q->prefix, ep->id,
+					   ep->cache_gap_ms)
+			    : 0;
+	uncached = q->prompt_tokens - (double)*cached / CHARS_PER_TOKEN;
 	if (uncached < 0)
 		uncached = 0;
-	uncached += ask->kept_tokens;
-	/* Each place in the queue waits for a 1/slots part of an answer. */
-	ms += expected_over(load, others, slots) * answer_ms / slots;
+	uncached += q->kept_tokens;
+	/* Each queue position waits for 1/slots of an answer's duration. */
+	ms += expected_overload(load, others, slots) * answer_ms / slots;
 	ms += uncached / ep->prefill_per_s * 1000.0;
-	/* A busy batch shares its prefill among those that arrive. */
+	/* In a busy batch, arriving requests share the prefill capacity. */
 	if (load < slots)
 		ms += load / slots * 1000.0 / per_seq;
-	ms += ep->risk_per_s * (tokens / per_seq) * ask->recompute_weight *
-	      (ask->prompt_tokens + tokens / 2) / ep->prefill_per_s * 1000.0;
-	if (ask->zone && strcmp(ask->zone, ep->zone))
-		ms += ZONE_MS;
+	ms += ep->risk_per_s * (tokens / per_seq) * q->recompute_weight *
+	      (q->prompt_tokens + tokens / 2) / ep->prefill_per_s * 1000.0;
+	if (q->zone && strcmp(q->zone, ep->zone))
+		ms += OTHER_ZONE_MS;
 	return ms;
 }
 
-static bool usable(const struct route_endpoint *ep,
-		   const struct route_query *ask, int64_t now_ms)
+static bool usable(const struct route_endpoint *ep, const struct route_query *q,
+		   int64_t now_ms)
 {
 	if (!ep->ready || ep->leaving || now_ms < ep->avoid_until_ms)
 		return false;
-	return !ask->version || !*ask->version ||
-	       !strcmp(ask->version, ep->version);
+	return !q->version || !*q->version || !strcmp(q->version, ep->version);
 }
 
-static size_t usable_subset(struct route_table *t,
-			    const struct route_query *ask, int64_t now_ms,
-			    struct route_endpoint **out)
+static size_t usable_subset(struct route_table *t, const struct route_query *q,
+			    int64_t now_ms, struct route_endpoint **out)
 {
 	size_t n = 0, i;
 
 	for (i = 0; i < t->nr_subset; i++) {
-		if (usable(t->subset[i], ask, now_ms))
+		if (usable(t->subset[i], q, now_ms))
 			out[n++] = t->subset[i];
 	}
 	return n;
 }
 
 static size_t add_holders(struct route_table *t, const struct prefix *px,
-			  const struct route_query *ask, int64_t now_ms,
+			  const struct route_query *q, int64_t now_ms,
 			  struct route_endpoint **out, size_t n)
 {
 	uint64_t holders[EXTRA_HOLDERS];
-	const size_t nr =
-		prefix_holders(px, ask->prefix, holders, EXTRA_HOLDERS);
+	const size_t nr = prefix_holders(px, q->prefix, holders, EXTRA_HOLDERS);
 	size_t i, j;
 
 	for (i = 0; i < nr; i++) {
 		struct route_endpoint *ep = route_find(t, holders[i]);
 
-		if (!ep || !usable(ep, ask, now_ms))
+		if (!ep || !usable(ep, q, now_ms))
 			continue;
 		for (j = 0; j < n && out[j] != ep; j++)
 			;
@@ -385,7 +389,7 @@
 	return n;
 }
 
-/* The mean load that others have at an endpoint, as far as known. */
+/* Mean load of other entries on the tracked endpoints, in sequences. */
 static double mean_others(const struct route_table *t, int64_t now_ms)
 {
 	double sum = 0;
@@ -400,24 +404,26 @@
 	return n ? sum / (double)n : 0;
 }
 
-static bool room_at(const struct route_score *s, const struct route_query *ask)
+static bool has_free_slot(const struct route_score *s,
+			  const struct route_query *q)
 {
-	return s->load + 1.0 <= (double)s->ep->slots * (1.0 - ask->reserve);
+	return s->load + 1.0 <= (double)s->ep->slots * (1.0 - q->reserve);
 }
 
 /*
- * The lowest score; a place with room goes before one without. Equal ones are
- * taken in an order that differs from entry to entry and call to call.
+ * Returns the index of the lowest score, among endpoints with room if there are
+ * any. `start` is random, so that entries choose differently between equal
+ * scores.
  */
-static size_t pick(const struct route_score *s, size_t n, size_t start,
-		   const struct route_query *ask)
+static size_t lowest_score(const struct route_score *s, size_t n, size_t start,
+			   const struct route_query *q)
 {
 	size_t best = start, i;
 
 	for (i = 1; i < n; i++) {
 		const size_t k = (start + i) % n;
-		const bool room = room_at(&s[k], ask);
-		const bool best_room = room_at(&s[best], ask);
+		const bool room = has_free_slot(&s[k], q);
+		const bool best_room = has_free_slot(&s[best], q);
 
 		if (room != best_room ? room : s[k].ms < s[best].ms)
 			best = k;
@@ -426,7 +432,7 @@
 }
 
 struct route_choice route_choose(struct route_table *t, const struct prefix *px,
-				 const struct route_query *ask, struct rnd *rnd,
+				 const struct route_query *q, struct rnd *rnd,
 				 int64_t now_ms, struct route_score *scores,
 				 size_t *nr_scores)
 {
@@ -435,17 +441,17 @@
 	struct route_score *s = scores ? scores : own;
 	const double mean = mean_others(t, now_ms);
 	struct route_choice c = { 0 };
-	size_t n = usable_subset(t, ask, now_ms, cand), i, k = 0;
+	size_t n = usable_subset(t, q, now_ms, cand), i, k = 0;
 
-	if (ask->prefix)
-		n = add_holders(t, px, ask, now_ms, cand, n);
+	if (q->prefix)
+		n = add_holders(t, px, q, now_ms, cand, n);
 
 	for (i = 0; i < n; i++) {
-		/* The one that just failed is kept as the last resort. */
-		if (cand[i]->id == ask->avoid && n > 1)
+		/* The endpoint that just failed is only the last resort. */
+		if (cand[i]->id == q->avoid && n > 1)
 			continue;
 		s[k].ep = cand[i];
-		s[k].ms = route_predict(cand[i], px, ask, mean, now_ms,
+		s[k].ms = route_predict(cand[i], px, q, mean, now_ms,
 					&s[k].cached_chars);
 		s[k].load = mean + (double)cand[i]->own_open;
 		k++;
@@ -455,10 +461,10 @@
 	c.considered = (unsigned)k;
 	if (!k)
 		return c;
-	i = pick(s, k, rnd_below(rnd, (uint32_t)k), ask);
+	i = lowest_score(s, k, rnd_below(rnd, (uint32_t)k), q);
 	c.endpoint = s[i].ep->id;
 	c.score_ms = s[i].ms;
 	c.cached_chars = s[i].cached_chars;
-	c.has_room = room_at(&s[i], ask);
+	c.has_room = has_free_slot(&s[i], q);
 	return c;
 }
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -1,19 +1,22 @@
 /*
- * route: which endpoint gets a request. Pure.
+ * route: chooses the endpoint for a request. Pure: performs no I/O and does not
+ * read the clock.
  *
- * An entry follows the load of a subset of each model's replicas, so that
+ * An entry tracks the load of only a subset of each model's replicas, so that
  * neither its traffic nor the cost of a decision grows with the fleet. The
- * score of a candidate is the predicted time to the first token:
+ * score of a candidate is the predicted time to the first token, the sum of
  *
- *   wait for a slot (others' load as reported, and this entry's own as it is)
- * + reading the part of the prompt that is not cached
- * + the cost of computing again what a reclaim would lose, by its risk
+ * - the wait for a slot, from the reported load of other entries and this
+ *   entry's current load,
+ * - prefill of the part of the prompt that is not cached,
+ * - the expected cost of recomputation after a reclaim of the instance.
  *
- * A report fades with its age, towards the mean of all replicas: every entry
- * sees the same report, and if all trusted it they would send to the same one
- * until the next (measured: docs/design/routing.md).
+ * The weight of a load report decays with its age, in favour of the mean of all
+ * replicas. All entries see the same report; if they relied on it, they would
+ * all send to the same replica until the next one (measured:
+ * docs/design/routing.md).
  *
- * One table serves one model of one service; the caller locks it.
+ * A table covers one model of one service. The caller locks it.
  */
 #ifndef ROUTE_H
 #define ROUTE_H
@@ -25,24 +28,28 @@
 #include "base/rnd.h"
 #include "route/prefix.h"
 
-/* Endpoints an entry follows per model: see docs/design/routing.md. */
+/* Endpoints that an entry tracks per model: see docs/design/routing.md. */
 #define ROUTE_SUBSET 16
 
-/* Rows that route_choose may hand out as scores. */
+/* Maximum number of scores from route_choose. */
 #define ROUTE_MAX_SCORES (ROUTE_SUBSET + 4)
 
+/* Buffer sizes in bytes, including the terminating NUL. */
 #define ROUTE_NAME_MAX 48
 #define ROUTE_ADDR_MAX 64
 
-/* Changes of an entry's own load that are kept: a second's worth or two. */
+/* Recorded changes of own_open per endpoint: of the last second or two. */
 #define ROUTE_MAX_CHANGES 32
 
 struct route_load_change {
 	int64_t at_ms;
-	int64_t own_before; /* before the change */
+	int64_t own_before; /* own_open before the change */
 };
 
-/* What the instance list and the endpoint's own report say of it. */
+/*
+ * An endpoint, as described by the instance list and its load reports. Times
+ * are monotonic, in ms.
+ */
 struct route_endpoint {
 	uint64_t id;
 	char name[ROUTE_NAME_MAX];
@@ -50,49 +57,49 @@
 	char zone[ROUTE_NAME_MAX];
 	char version[ROUTE_NAME_MAX]; /* as reported by the engine */
 	bool reclaimable;
-	bool ready;   /* reported to run the model asked for */
-	bool leaving; /* no new work */
+	bool ready;   /* reports that it serves the table's model */
+	bool leaving; /* gets no new requests */
 	double tokens_per_s;
 	double prefill_per_s;
 	int64_t slots;
-	double risk_per_s;  /* chance of a reclaim per second */
-	double kv_mb_per_s; /* KV transfer; 0: cannot */
+	double risk_per_s;  /* probability of a reclaim per second */
+	double kv_mb_per_s; /* KV cache transfer rate; 0: unsupported */
 	double kv_mb_per_token;
 
-	/* Load, as of `report_ms` (monotonic; 0: never heard). */
+	/* Load as of `report_ms`; 0: no report yet. */
 	int64_t report_ms;
 	int64_t running;
 	int64_t waiting;
 	int64_t cache_gap_ms;  /* last gap in its cache events */
-	int64_t cache_seq;     /* last cache event taken in */
-	int64_t streams;       /* open runs of all entries, as reported */
-	int64_t own_open;      /* own requests open now */
-	int64_t own_at_report; /* the same at the time the report is of */
-	struct route_load_change
-		load_changes[ROUTE_MAX_CHANGES]; /* changes of `own`, a ring */
+	int64_t cache_seq;     /* last processed cache event */
+	int64_t streams;       /* reported open runs, of all entries */
+	int64_t own_open;      /* this entry's open requests */
+	int64_t own_at_report; /* own_open as of report_ms */
+	struct route_load_change load_changes[ROUTE_MAX_CHANGES]; /* ring */
 	unsigned nr_load_changes;
-	int64_t avoid_until_ms; /* after a failure; monotonic ms */
-	int64_t polled_ms;	/* when its load was last asked for */
+	int64_t avoid_until_ms; /* set after a failure */
+	int64_t polled_ms;	/* last request for its load */
 };
 
+/* Describes the request. Pointers are borrowed for the call. */
 struct route_query {
-	const struct prefix_key *prefix;
+	const struct prefix_key *prefix; /* NULL: ignore prefix caches */
 	uint32_t prompt_tokens;
-	uint32_t kept_tokens; /* tokens to be read again on top */
-	uint32_t max_tokens;
-	const char *version; /* required version; NULL or "": any */
-	const char *zone;    /* the entry's own zone: ties go there */
-	uint64_t avoid;	     /* not this one, unless it is the only one */
-	double recompute_weight;
-	double reserve; /* part of the slots that this work must leave free */
+	uint32_t kept_tokens; /* additional tokens to prefill on resumption */
+	uint32_t max_tokens;  /* of the answer; 0: unknown, 256 is assumed */
+	const char *version;  /* required version; NULL or "": any */
+	const char *zone;     /* of the entry, preferred; NULL: no preference */
+	uint64_t avoid; /* id of an endpoint to use only as the last resort */
+	double recompute_weight; /* of the expected recomputation cost */
+	double reserve; /* fraction of the slots to leave free, 0 to 1 */
 };
 
 struct route_choice {
-	uint64_t endpoint;   /* 0: none can be had */
+	uint64_t endpoint;   /* 0: none is usable */
 	double score_ms;     /* predicted time to the first token */
-	size_t cached_chars; /* characters believed cached */
-	unsigned considered;
-	bool has_room; /* a slot that it may use is believed free */
+	size_t cached_chars; /* of the prompt, predicted in its cache */
+	unsigned considered; /* number of candidates */
+	bool has_room;	     /* predicted free slot beyond the reserve */
 };
 
 /* A candidate and its score, for the decision log. */
@@ -100,55 +107,71 @@
 	const struct route_endpoint *ep;
 	double ms;
 	size_t cached_chars;
-	double load; /* sequences believed there */
+	double load; /* predicted sequences */
 };
 
 struct route_table;
 
-/* `self` seeds the subset; `max` bounds the endpoints known. */
+/*
+ * Creates an empty table for up to `max` endpoints, which must be below 65535.
+ * `self` identifies the entry and determines its subset. Free with route_free.
+ */
 struct route_table *route_create(uint64_t self, size_t max);
 void route_free(struct route_table *t);
 
 /*
- * Adds or updates an endpoint by id. Load fields of a known endpoint are
- * kept. Returns the stored one, or NULL if the table is full.
+ * Adds or updates an endpoint by id. The load, cache and backoff fields of a
+ * known endpoint are kept. Returns the stored copy, owned by the table, or NULL
+ * if the table is full.
  */
 struct route_endpoint *route_put(struct route_table *t,
 				 const struct route_endpoint *ep);
+
+/* Removes an endpoint and refreshes the subset; ignores unknown ids. */
 void route_remove(struct route_table *t, uint64_t id);
+
+/* Returns the endpoint, owned by the table, or NULL. */
 struct route_endpoint *route_find(const struct route_table *t, uint64_t id);
 size_t route_count(const struct route_table *t);
 
-/* Recomputes the subset; call after puts and removes. */
+/* Recomputes the subset. Call after route_put and other changes. */
 void route_refresh(struct route_table *t);
 
-/* The followed endpoints (at most ROUTE_SUBSET). Valid until a refresh. */
+/*
+ * Sets `*out` to the tracked endpoints and returns their number, at most
+ * ROUTE_SUBSET. Valid until the next refresh.
+ */
 size_t route_subset(const struct route_table *t,
 		    struct route_endpoint *const **out);
 
-/* A load report arrived. A report older than the last one is dropped. */
+/*
+ * Records a load report. It describes the endpoint `lag_ms` ago. A report older
+ * than the last one, or with negative counts, is dropped.
+ */
 void route_report(struct route_endpoint *ep, int64_t running, int64_t waiting,
 		  int64_t lag_ms, int64_t now_ms);
 
-/* A request was sent to, or ended at, the endpoint. */
+/* Counts a request of this entry as open, or as ended. */
 void route_sent(struct route_endpoint *ep, int64_t now_ms);
 void route_done(struct route_endpoint *ep, int64_t now_ms);
 
 /*
- * Chooses. `scores` (may be NULL) receives up to ROUTE_MAX_SCORES rows and
- * `*nr_scores` their number.
+ * Chooses an endpoint. `px` is needed only if the query has a prefix. `scores`
+ * receives up to ROUTE_MAX_SCORES scores and `*nr_scores` their number; both
+ * may be NULL.
  */
 struct route_choice route_choose(struct route_table *t, const struct prefix *px,
-				 const struct route_query *ask, struct rnd *rnd,
+				 const struct route_query *q, struct rnd *rnd,
 				 int64_t now_ms, struct route_score *scores,
 				 size_t *nr_scores);
 
 /*
- * The predicted time to the first token at one endpoint, in ms. `mean_others`
- * is the mean load of others over the endpoints followed.
+ * Returns the predicted time to the first token on an endpoint, in ms.
+ * `mean_others`: mean load by other entries on the tracked endpoints, in
+ * sequences. `*cached` receives the characters predicted in its cache.
  */
 double route_predict(const struct route_endpoint *ep, const struct prefix *px,
-		     const struct route_query *ask, double mean_others,
+		     const struct route_query *q, double mean_others,
 		     int64_t now_ms, size_t *cached);
 
 #endif
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -1,4 +1,4 @@
-/* Routing and the prefix index against naive twins. */
+/* Tests routing and the prefix index against reference implementations. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -33,9 +33,9 @@
 
 /* ---- The prefix index ---- */
 
-/* The naive twin keeps every text and compares letter by letter. */
-static size_t naive_match(char texts[][2049], const uint64_t *who, size_t n,
-			  const char *text, uint64_t endpoint_id)
+/* Reference implementation: keeps all texts and compares each character. */
+static size_t reference_match(char texts[][2049], const uint64_t *holders,
+			      size_t n, const char *text, uint64_t endpoint_id)
 {
 	size_t best = 0, i, k;
 
@@ -43,18 +43,18 @@
 		for (k = 0; text[k] && texts[i][k] == text[k]; k++)
 			;
 		k = k / PREFIX_BLOCK_CHARS * PREFIX_BLOCK_CHARS;
-		if (who[i] == endpoint_id && k > best)
+		if (holders[i] == endpoint_id && k > best)
 			best = k;
 	}
 	return best;
 }
 
-static void prefix_like_naive(void)
+static void prefix_index_matches_reference(void)
 {
 	static char texts[60][2049];
 	struct prefix *p = prefix_create(65536);
 	struct prefix_key k;
-	uint64_t who[60];
+	uint64_t holders[60];
 	struct rnd rnd;
 	size_t i;
 
@@ -66,11 +66,12 @@
 		if (i)
 			memcpy(texts[i], texts[rnd_below(&rnd, (uint32_t)i)],
 			       keep);
-		who[i] = 1 + rnd_below(&rnd, 3);
+		holders[i] = 1 + rnd_below(&rnd, 3);
 		prefix_key_init(&k, texts[i], 2048, 1);
-		CU_ASSERT_EQUAL(prefix_match(p, &k, who[i], 0),
-				naive_match(texts, who, i, texts[i], who[i]));
-		prefix_insert(p, &k, who[i], (int64_t)i + 1);
+		CU_ASSERT_EQUAL(prefix_match(p, &k, holders[i], 0),
+				reference_match(texts, holders, i, texts[i],
+						holders[i]));
+		prefix_insert(p, &k, holders[i], (int64_t)i + 1);
 	}
 	prefix_free(p);
 }
@@ -89,21 +90,21 @@
 	prefix_key_init(&other, text, 512, 2);
 	prefix_insert(p, &k, 7, 100);
 	CU_ASSERT_EQUAL(prefix_match(p, &k, 7, 100), 512);
-	/* A gap in the engine's events: what came before counts no more. */
+	/* A gap in the engine's events invalidates earlier records. */
 	CU_ASSERT_EQUAL(prefix_match(p, &k, 7, 101), 0);
-	/* Another model's cache is another cache. */
+	/* Another model has a separate cache. */
 	CU_ASSERT_EQUAL(prefix_match(p, &other, 7, 0), 0);
 	CU_ASSERT_EQUAL(prefix_holders(p, &k, out, 4), 1);
 	CU_ASSERT_EQUAL(out[0], 7);
 	prefix_free(p);
 }
 
-/* ---- Choosing ---- */
+/* ---- Choice of an endpoint ---- */
 
-/* The naive twin scores every endpoint there is, with the same formula. */
-static double naive_best(struct route_endpoint *eps, size_t n,
-			 const struct prefix *px, const struct route_query *ask,
-			 int64_t now)
+/* Reference implementation: the best score over all endpoints. */
+static double reference_best(struct route_endpoint *eps, size_t n,
+			     const struct prefix *px,
+			     const struct route_query *query, int64_t now)
 {
 	double best = INFINITY, mean = 0, usable = 0;
 	size_t i, cached;
@@ -117,14 +118,14 @@
 	mean = usable > 0 ? mean / usable : 0;
 	for (i = 0; i < n; i++) {
 		if (eps[i].ready && !eps[i].leaving &&
-		    eps[i].id != ask->avoid && now >= eps[i].avoid_until_ms)
-			best = fmin(best, route_predict(&eps[i], px, ask, mean,
-							now, &cached));
+		    eps[i].id != query->avoid && now >= eps[i].avoid_until_ms)
+			best = fmin(best, route_predict(&eps[i], px, query,
+							mean, now, &cached));
 	}
 	return best;
 }
 
-static void route_like_naive(void)
+static void choice_matches_reference(void)
 {
 	struct prefix *px = prefix_create(1024);
 	struct rnd rnd;
@@ -137,10 +138,10 @@
 		const size_t n = 1 + rnd_below(&rnd, 12);
 		struct prefix_key key;
 		char text[1025];
-		struct route_query ask = { .prefix = &key,
-					   .prompt_tokens = 256,
-					   .max_tokens = 64,
-					   .recompute_weight = 0.5 };
+		struct route_query query = { .prefix = &key,
+					     .prompt_tokens = 256,
+					     .max_tokens = 64,
+					     .recompute_weight = 0.5 };
 		struct route_choice c;
 		double best;
 		size_t i;
@@ -159,8 +160,8 @@
 		}
 		prefix_insert(px, &key, 1 + rnd_below(&rnd, (uint32_t)n), 1000);
 		route_refresh(t);
-		c = route_choose(t, px, &ask, &rnd, 1200, NULL, NULL);
-		best = naive_best(eps, n, px, &ask, 1200);
+		c = route_choose(t, px, &query, &rnd, 1200, NULL, NULL);
+		best = reference_best(eps, n, px, &query, 1200);
 		CU_ASSERT_EQUAL(c.endpoint != 0, isfinite(best));
 		if (c.endpoint)
 			CU_ASSERT(c.score_ms <=
@@ -171,17 +172,17 @@
 }
 
 /*
- * Symptom: all entries send to one replica until its next report.
- * Events: one replica reports itself empty, nine have a few sequences each;
- * six entries see that and route twenty requests each before the next report.
- * Cause: everybody fills what looked empty. What each sent itself counts at
- * once, and the report fades.
+ * Guards against herding: all entries send to one replica until its next load
+ * report. One replica reports no load, nine report a few sequences each; six
+ * entries see these reports and route twenty requests each before the next
+ * ones. An entry has to count its own requests at once and to let the weight of
+ * the reports decay.
  */
 static void no_herding(void)
 {
 	unsigned got[11] = { 0 }, most = 0, e, i;
-	const struct route_query ask = { .prompt_tokens = 64,
-					 .max_tokens = 32 };
+	const struct route_query query = { .prompt_tokens = 64,
+					   .max_tokens = 32 };
 	struct rnd rnd;
 
 	for (e = 0; e < 6; e++) {
@@ -198,7 +199,7 @@
 		route_refresh(t);
 		for (i = 0; i < 20; i++) {
 			const struct route_choice c = route_choose(
-				t, NULL, &ask, &rnd, 1200 + i, NULL, NULL);
+				t, NULL, &query, &rnd, 1200 + i, NULL, NULL);
 
 			got[c.endpoint]++;
 			route_sent(route_find(t, c.endpoint), 1200 + i);
@@ -211,12 +212,12 @@
 	CU_ASSERT(most <= 20);
 }
 
-/* What this entry has sent since the report counts at once. */
-static void own_deltas(void)
+/* Requests of this entry since the last report count at once. */
+static void own_requests_count_at_once(void)
 {
 	struct route_table *t = route_create(1, 8);
-	const struct route_query ask = { .prompt_tokens = 64,
-					 .max_tokens = 64 };
+	const struct route_query query = { .prompt_tokens = 64,
+					   .max_tokens = 64 };
 	struct route_endpoint a = endpoint(1), b = endpoint(2);
 	struct rnd rnd;
 	unsigned to[3] = { 0 }, i;
@@ -229,7 +230,7 @@
 	route_report(route_find(t, 2), 0, 0, 0, 1000);
 	for (i = 0; i < 16; i++) {
 		const struct route_choice c =
-			route_choose(t, NULL, &ask, &rnd, 1010, NULL, NULL);
+			route_choose(t, NULL, &query, &rnd, 1010, NULL, NULL);
 
 		to[c.endpoint]++;
 		route_sent(route_find(t, c.endpoint), 1010);
@@ -238,7 +239,7 @@
 	route_free(t);
 }
 
-static void reports_in_order(void)
+static void older_reports_are_dropped(void)
 {
 	struct route_endpoint ep = endpoint(1);
 
@@ -251,30 +252,30 @@
 	CU_ASSERT_EQUAL(ep.running, 2);
 }
 
-static void version_and_last_resort(void)
+static void required_version_and_last_resort(void)
 {
 	struct route_table *t = route_create(1, 8);
 	struct route_endpoint a = endpoint(1);
-	struct route_query ask = { .prompt_tokens = 1, .avoid = 1 };
+	struct route_query query = { .prompt_tokens = 1, .avoid = 1 };
 	struct rnd rnd;
 
 	rnd_seed(&rnd, 1);
 	strcpy(a.version, "v1");
 	route_put(t, &a);
 	route_refresh(t);
-	/* The one that failed is still better than none. */
+	/* The endpoint that failed is used if there is no other one. */
 	CU_ASSERT_EQUAL(
-		route_choose(t, NULL, &ask, &rnd, 1, NULL, NULL).endpoint, 1);
-	ask.version = "v2";
+		route_choose(t, NULL, &query, &rnd, 1, NULL, NULL).endpoint, 1);
+	query.version = "v2";
 	CU_ASSERT_EQUAL(
-		route_choose(t, NULL, &ask, &rnd, 1, NULL, NULL).endpoint, 0);
+		route_choose(t, NULL, &query, &rnd, 1, NULL, NULL).endpoint, 0);
 	route_remove(t, 1);
 	CU_ASSERT_EQUAL(route_count(t), 0);
 	CU_ASSERT_PTR_NULL(route_find(t, 1));
 	route_free(t);
 }
 
-/* Subsets spread a fleet's entries evenly over the replicas. */
+/* The subsets of all entries cover the replicas evenly. */
 static void subsets_are_even(void)
 {
 	static unsigned followed[300];
@@ -306,13 +307,15 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "prefix index like the naive twin", prefix_like_naive },
-	{ "prefix: gaps and salts", prefix_gap_and_salt },
-	{ "choice like the naive twin", route_like_naive },
+	{ "prefix index matches the reference",
+	  prefix_index_matches_reference },
+	{ "prefix index: gaps and salts", prefix_gap_and_salt },
+	{ "choice matches the reference", choice_matches_reference },
 	{ "no herding on a stale report", no_herding },
-	{ "own work counts at once", own_deltas },
-	{ "reports in order", reports_in_order },
-	{ "versions, and the last resort", version_and_last_resort },
+	{ "own requests count at once", own_requests_count_at_once },
+	{ "older reports are dropped", older_reports_are_dropped },
+	{ "required version and last resort",
+	  required_version_and_last_resort },
 	{ "subsets are even", subsets_are_even },
 };
 
