--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -162,8 +162,8 @@
 	jlog_num(en->log, "share", ro->next.share);
 	jlog_str(en->log, "why", ro->next.why);
 	jlog_int(en->log, "since_ms", s->now_ms - ro->next.began_ms);
-	jlog_int(en->log, "endpoints", s->in_target);
-	jlog_int(en->log, "enough", s->required);
+	jlog_int(en->log, "endpoints", s->target_endpoints);
+	jlog_int(en->log, "enough", s->required_endpoints);
 	jlog_num(en->log, "runs_left", s->former_running);
 	jlog_int(en->log, "sent", target.sent);
 	jlog_int(en->log, "answered", target.answered);
@@ -300,9 +300,10 @@
 	if (ro->recorded && rol_in_progress(&ro->record))
 		sum_counts(ro, &counts);
 	s.now_ms = truth_now(&en->truth, now);
-	s.settled = now - en->lead.since_ms >= SETTLED_MS;
-	s.in_target = sums.in_target;
-	s.required = required_endpoints(en, ro->service, sums.in_from);
+	s.counts_complete = now - en->lead.since_ms >= SETTLED_MS;
+	s.target_endpoints = sums.in_target;
+	s.required_endpoints =
+		required_endpoints(en, ro->service, sums.in_from);
 	s.former_running = sums.former_running;
 	s.established = edge_rollout_serving(ro);
 	if (decide(en, ro, &sums, &s, now))
--- a/lib/rollout/rollout.c
+++ b/lib/rollout/rollout.c
@@ -198,7 +198,7 @@
 /* Ends the trial with a shift of all traffic or a roll-back. */
 static void end_trial(struct rol_record *r, const struct rol_observation *s)
 {
-	if (s->in_target < s->required)
+	if (s->target_endpoints < s->required_endpoints)
 		rol_roll_back(r, "too few endpoints of the target", s->now_ms);
 	else if (!has_enough_answers(s))
 		rol_roll_back(r, "too few answers to judge by", s->now_ms);
@@ -219,7 +219,7 @@
 	const double most = sparse ? MAX_SPARSE_TRIAL_SHARE : MAX_TRIAL_SHARE;
 	double share = l->exposure_share;
 
-	if (!s->in_target || trial_budget_used(l, s->counts))
+	if (!s->target_endpoints || trial_budget_used(l, s->counts))
 		return 0;
 	if (over >= RATE_KNOWN_MS && all > 0)
 		share += SLACK_FRACTION * l->exposure_slack / all;
@@ -233,7 +233,7 @@
 {
 	const double share = trial_share(r, l, s);
 
-	if (s->settled &&
+	if (s->counts_complete &&
 	    s->now_ms >= deadline_of(r) - shift_duration(r, l, s)) {
 		end_trial(r, s);
 		return true;
@@ -284,8 +284,8 @@
 static bool step_hand_over(struct rol_record *r,
 			   const struct rol_observation *s)
 {
-	if (!s->settled || (s->former_running >= 1 &&
-			    s->now_ms - r->changed_ms < HAND_OVER_MS))
+	if (!s->counts_complete || (s->former_running >= 1 &&
+				    s->now_ms - r->changed_ms < HAND_OVER_MS))
 		return false;
 	set_stage(r, ROL_COMPLETED, 1, "answers as well as the former version",
 		  s->now_ms);
@@ -297,8 +297,8 @@
 				    const struct rol_observation *s)
 {
 	return r->stage == ROL_TRIAL
-		       ? rol_trial_endpoints(r, (unsigned)s->in_target)
-		       : (unsigned)s->in_target;
+		       ? rol_trial_endpoints(r, (unsigned)s->target_endpoints)
+		       : (unsigned)s->target_endpoints;
 }
 
 bool rol_step(struct rol_record *r, const struct rol_limits *l,
--- a/lib/rollout/rollout.h
+++ b/lib/rollout/rollout.h
@@ -72,9 +72,9 @@
 /* Observations of a service by the holder of the duties. */
 struct rol_observation {
 	int64_t now_ms;		  /* time of day */
-	bool settled;		  /* counts of the other entries have arrived */
-	int in_target;		  /* usable endpoints of the target */
-	int required;		  /* minimum endpoints to shift all traffic */
+	bool counts_complete;	  /* counts of the other entries have arrived */
+	int target_endpoints;	  /* usable endpoints of the target */
+	int required_endpoints;	  /* minimum endpoints to shift all traffic */
 	double former_running;	  /* requests running on endpoints of `from` */
 	const struct tal *counts; /* of all entries */
 	const char *established;  /* version that serves */
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -407,8 +407,9 @@
 	struct rol_limits l = limits;
 	struct tal sum = { 0 };
 	struct rol_observation s = { .now_ms = w->now,
-				     .settled = w->now - w->holder_ms >= 1500,
-				     .required = 4,
+				     .counts_complete = w->now - w->holder_ms >=
+							1500,
+				     .required_endpoints = 4,
 				     .established = "v1",
 				     .counts = &sum };
 	const enum rol_stage before = w->record.stage;
@@ -416,7 +417,8 @@
 
 	l.exposure_share *= w->limit_factor;
 	l.exposure_slack *= w->limit_factor;
-	s.in_target = w->now > w->record.began_ms + 900 ? w->endpoints : 0;
+	s.target_endpoints = w->now > w->record.began_ms + 900 ? w->endpoints
+							       : 0;
 	s.former_running = w->known_running;
 	for (i = 0; i < ENTRIES; i++) {
 		const struct tal *t = &w->entries[i].told;
@@ -577,8 +579,8 @@
 {
 	struct rol_record r = begun("v2", 9000);
 	struct tal none = { 0 };
-	struct rol_observation s = { .settled = true,
-				     .required = 2,
+	struct rol_observation s = { .counts_complete = true,
+				     .required_endpoints = 2,
 				     .counts = &none,
 				     .established = "v1" };
 
