--- a/lib/rollout/rollout.c
+++ b/lib/rollout/rollout.c
@@ -10,7 +10,7 @@
 
 /*
  * Fraction of the exposure limit that the trial uses. The rest is reserved for
- * the shift, when the target takes the full load for the first time.
+ * the shift, when the target gets the full load for the first time.
  */
 #define TRIAL_EXPOSURE_FRACTION 0.35
 #define MAX_TRIAL_SHARE 0.2
@@ -20,16 +20,16 @@
 #define MAX_SPARSE_TRIAL_SHARE 0.5
 
 /* Minimum time over which the request rate is measured. */
-#define RATE_KNOWN_MS 1000
+#define MIN_RATE_PERIOD_MS 1000
 
-/* Minimum relative change of the share; each change is a store write. */
+/* Minimum relative change of the share, since each change is a store write. */
 #define MIN_SHARE_CHANGE 0.3
 
 /* Fractions of the exposure limit at which the trial pauses. */
 #define PAUSE_SHARE_FRACTION 0.5
 #define PAUSE_SLACK_FRACTION 0.4
 
-/* Fractions of the exposure limit that may be used: counts arrive late. */
+/* Usable fractions of the exposure limit, since counts arrive with a delay. */
 #define EXPOSURE_FRACTION 0.85
 #define SLACK_FRACTION 0.75
 
@@ -45,20 +45,20 @@
 /* Fraction of the shift during which the target gets half of the traffic. */
 #define HALF_SHIFT_FRACTION 0.25
 
-/* Time to hand over all streams and to learn that they have ended. */
+/* Time to hand over all streams and to receive the counts that show it. */
 #define HAND_OVER_MS 1200
 
-/* Time past the deadline that a change of holder may delay a trial. */
+/* Maximum delay of a trial past the deadline, by a new lease holder. */
 #define MAX_OVERRUN_MS 2500
 
 /* Minimum answers to pass a trial, normally and with little traffic. */
 #define MIN_TRIAL_ANSWERS 40
 #define MIN_SPARSE_ANSWERS 8
 
-/* Minimum endpoints in a trial: a single one may be faulty by itself. */
+/* Minimum endpoints in a trial, since a single one may be faulty. */
 #define MIN_TRIAL_ENDPOINTS 3
 
-/* Endpoints started later than this after completion are not stopped by it. */
+/* Endpoints that start later than this after completion are not withheld. */
 #define LATE_START_MS 2000
 
 static void set_stage(struct rol_record *r, enum rol_stage stage, double share,
@@ -145,9 +145,9 @@
 static double request_rate(const struct rol_record *r,
 			   const struct rol_observation *s)
 {
-	const double over = (double)(s->now_ms - r->began_ms);
+	const double elapsed_ms = (double)(s->now_ms - r->began_ms);
 
-	return total_requests(s->counts) / (over > 1 ? over : 1);
+	return total_requests(s->counts) / (elapsed_ms > 1 ? elapsed_ms : 1);
 }
 
 /* Delay until the counts of other entries arrive. */
@@ -170,7 +170,7 @@
 			      const struct rol_limits *l,
 			      const struct rol_observation *s)
 {
-	const double most = MAX_SHIFT_FRACTION * (double)r->within_ms;
+	const double max = MAX_SHIFT_FRACTION * (double)r->within_ms;
 	/* During the first part the target gets half of the traffic. */
 	const double per_ms =
 		request_rate(r, s) * (1 - HALF_SHIFT_FRACTION / 2);
@@ -180,8 +180,8 @@
 	/* If the hand-over does not fit, it runs after the deadline. */
 	if (time < MIN_SHIFT_MS + HAND_OVER_MS)
 		time = remaining_exposure(r, l, s) / per_ms;
-	if (!(time < most)) /* also if the rate is 0 */
-		return (int64_t)most;
+	if (!(time < max)) /* also if the rate is 0 */
+		return (int64_t)max;
 	return time > MIN_SHIFT_MS ? (int64_t)time : MIN_SHIFT_MS;
 }
 
@@ -206,26 +206,27 @@
 		set_stage(r, ROL_SHIFT, 0.5, "trial passed", s->now_ms);
 }
 
-/* With few requests, most of the limit is the slack. */
+/* Share of the trial. With few requests, most of the limit is the slack. */
 static double trial_share(const struct rol_record *r,
 			  const struct rol_limits *l,
 			  const struct rol_observation *s)
 {
-	const double all = request_rate(r, s) * (double)r->within_ms;
-	const int64_t over = s->now_ms - r->began_ms;
-	const bool sparse = over > r->within_ms / 2 &&
+	const double expected_requests =
+		request_rate(r, s) * (double)r->within_ms;
+	const int64_t elapsed_ms = s->now_ms - r->began_ms;
+	const bool sparse = elapsed_ms > r->within_ms / 2 &&
 			    tal_total(s->counts, false).answered <
 				    MIN_SPARSE_ANSWERS;
-	const double most = sparse ? MAX_SPARSE_TRIAL_SHARE : MAX_TRIAL_SHARE;
+	const double max = sparse ? MAX_SPARSE_TRIAL_SHARE : MAX_TRIAL_SHARE;
 	double share = l->exposure_share;
 
 	if (!s->target_endpoints || trial_budget_used(l, s->counts))
 		return 0;
-	if (over >= RATE_KNOWN_MS && all > 0)
-		share += SLACK_FRACTION * l->exposure_slack / all;
+	if (elapsed_ms >= MIN_RATE_PERIOD_MS && expected_requests > 0)
+		share += SLACK_FRACTION * l->exposure_slack / expected_requests;
 	share *= sparse ? SPARSE_TRIAL_EXPOSURE_FRACTION
 			: TRIAL_EXPOSURE_FRACTION;
-	return share < most ? share : most;
+	return share < max ? share : max;
 }
 
 static bool step_trial(struct rol_record *r, const struct rol_limits *l,
@@ -263,20 +264,22 @@
 static bool step_shift(struct rol_record *r, const struct rol_limits *l,
 		       const struct rol_observation *s)
 {
-	const int64_t left = deadline_of(r) - s->now_ms;
-	const int64_t here = s->now_ms - r->changed_ms;
+	const int64_t left_ms = deadline_of(r) - s->now_ms;
+	const int64_t in_stage_ms = s->now_ms - r->changed_ms;
 
 	if (r->share < 1) {
-		if ((double)here < HALF_SHIFT_FRACTION * (double)(here + left))
+		if ((double)in_stage_ms <
+		    HALF_SHIFT_FRACTION * (double)(in_stage_ms + left_ms))
 			return false;
 		set_stage(r, ROL_SHIFT, 1, "shift", s->now_ms);
 		return true;
 	}
-	if (here < MIN_FULL_SHIFT_MS ||
-	    (left > 0 && (left > HAND_OVER_MS || !hand_over_fits(r, l, s))))
+	if (in_stage_ms < MIN_FULL_SHIFT_MS ||
+	    (left_ms > 0 &&
+	     (left_ms > HAND_OVER_MS || !hand_over_fits(r, l, s))))
 		return false;
 	set_stage(r, ROL_HAND_OVER, 1,
-		  left > 0 ? "hand-over" : "deadline reached", s->now_ms);
+		  left_ms > 0 ? "hand-over" : "deadline reached", s->now_ms);
 	return true;
 }
 
@@ -423,7 +426,7 @@
 	buf_str(out, "}");
 }
 
-static bool stage_of(const char *word, enum rol_stage *out)
+static bool parse_stage(const char *word, enum rol_stage *out)
 {
 	size_t i;
 
@@ -452,7 +455,7 @@
 	out->within_ms = jsn_int(o, "within_ms", 0);
 	out->changed_ms = jsn_int(o, "changed_ms", 0);
 	out->share = jsn_dbl(o, "share", 0);
-	return stage_of(jsn_str(o, "stage", ""), &out->stage) &&
+	return parse_stage(jsn_str(o, "stage", ""), &out->stage) &&
 	       out->service[0] && out->target[0] && out->within_ms >= 0 &&
 	       out->share >= 0 && out->share <= 1;
 }
--- a/lib/rollout/rollout.h
+++ b/lib/rollout/rollout.h
@@ -1,24 +1,26 @@
 /*
- * rollout: staged deployment of a new version of a service, with automatic
- * roll-back.
+ * rol (roll-out): staged deployment of a new version of a service, with
+ * automatic roll-back.
  *
  * An operator orders a target version for a service, with a deadline; endpoints
- * of that version start beside those of the current one. The holder of the
- * duties makes all decisions. In the trial, a small share of the requests goes
- * to a few endpoints of the target, so that each has a normal load. Shortly
- * before the deadline, all traffic is shifted if the target answers as well as
- * the former version. The roll-out is completed when nothing runs on the former
- * endpoints. It is rolled back as soon as the target answers significantly
- * worse, or if too few of its endpoints start.
+ * of that version start in addition to those of the current one. The lease
+ * holder, which is the entry that holds the duty lease, makes all decisions. In
+ * the trial, a small share of the requests goes to a few endpoints of the
+ * target, so that each has a normal load. Shortly before the deadline, all
+ * traffic is shifted if the target answers as well as the former version. The
+ * roll-out is completed when no requests run on the former endpoints. It is
+ * rolled back as soon as the target answers significantly worse, or if too few
+ * of its endpoints start.
  *
  * Until the deadline, the target gets no more requests than the exposure limit,
- * whatever its answers are: the shift begins when the remaining exposure covers
- * the traffic until the deadline. Streams are handed over before the deadline
- * only if they fit the limit too; otherwise the roll-out ends after it.
+ * regardless of its answers: the shift begins when the remaining exposure
+ * covers the traffic until the deadline. Streams are handed over before the
+ * deadline only if they fit the limit too; otherwise the roll-out ends after
+ * it.
  *
- * The state is one record in the store, so a new holder continues where the
- * former one stopped. Decisions are pure functions of the record, the
- * observations and the time of day.
+ * The state is one record in the store, so that a new lease holder can
+ * continue. Decisions are pure functions of the record, the observations and
+ * the time of day.
  */
 #ifndef ROLLOUT_H
 #define ROLLOUT_H
@@ -31,36 +33,39 @@
 #include "fleet/flt.h"
 #include "rollout/tally.h"
 
+/* Size of the buffer for a reason in bytes, including the terminating NUL. */
 #define ROL_WHY 64
 
-/* An operator's order. */
+/* An operator's order to deploy a version. */
 struct rol_order {
 	int64_t version; /* of the order in the store */
 	char service[FLT_NAME];
 	char target[FLT_NAME]; /* version to be run */
-	int64_t within_ms;
+	int64_t within_ms; /* deadline, relative to the start of the roll-out */
 };
 
+/* Stages of a roll-out; stored by rol_stage_name. */
 enum rol_stage {
 	ROL_TRIAL,     /* a share of the requests goes to the target */
 	ROL_SHIFT,     /* half of the new requests, then all, go there */
-	ROL_HAND_OVER, /* and so do streams that still run elsewhere */
+	ROL_HAND_OVER, /* running streams are handed over as well */
 	ROL_COMPLETED,
 	ROL_ROLLED_BACK,
 	ROL_UNORDERED, /* both versions serve, without an order */
 };
 
+/* State of a roll-out, as stored. Timestamps are ms since the Unix epoch. */
 struct rol_record {
 	char service[FLT_NAME];
 	char target[FLT_NAME];
 	char from[FLT_NAME]; /* the version that served before */
 	int64_t order;	     /* version of the order in the store; 0: none */
-	int64_t began_ms;    /* time of day */
-	int64_t within_ms;
-	int64_t changed_ms; /* time of day of the last step */
+	int64_t began_ms;
+	int64_t within_ms;  /* from the order */
+	int64_t changed_ms; /* last step */
 	enum rol_stage stage;
-	double share; /* of the requests that go to the target, 0 to 1 */
-	char why[ROL_WHY];
+	double share;	   /* of the requests that go to the target, 0 to 1 */
+	char why[ROL_WHY]; /* reason of the last step, for operators */
 };
 
 /* Settings: the exposure limit of a new version. */
@@ -69,7 +74,7 @@
 	double exposure_slack; /* requests beyond that */
 };
 
-/* Observations of a service by the holder of the duties. */
+/* Observations of a service by the lease holder. */
 struct rol_observation {
 	int64_t now_ms;		  /* time of day */
 	bool counts_complete;	  /* counts of the other entries have arrived */
@@ -80,20 +85,21 @@
 	const char *established;  /* version that serves */
 };
 
-/* Creates the first record of an order. */
+/* Initializes `r` as the first record of an order. */
 void rol_begin(struct rol_record *r, const struct rol_order *o,
 	       const struct rol_observation *s);
 
 /*
- * Advances a roll-out in progress. Returns true if the record changed and has to
- * be written.
+ * Advances a roll-out that is in progress by at most one step. Returns true if
+ * the record changed and has to be written to the store.
  */
 bool rol_step(struct rol_record *r, const struct rol_limits *l,
 	      const struct rol_observation *s);
 
-/* Rolls back, for the given reason. */
+/* Sets the stage to rolled back; `why` is copied and truncated to ROL_WHY. */
 void rol_roll_back(struct rol_record *r, const char *why, int64_t now_ms);
 
+/* True in the stages trial, shift and hand-over. */
 bool rol_in_progress(const struct rol_record *r);
 
 /*
@@ -111,13 +117,14 @@
 bool rol_moves_streams(const struct rol_record *r);
 
 /*
- * Returns which requests an endpoint gets. `established`: the version that serves
- * if there is no record. `chosen`: the endpoint is selected for the trial.
+ * Returns which requests an endpoint gets. `r` may be NULL: only `established`
+ * serves then, or any version if it is "". `chosen`: the endpoint is selected
+ * for the trial.
  */
 enum flt_use rol_use(const struct rol_record *r, const char *established,
 		     const struct flt_info *info, bool chosen);
 
-/* Number of endpoints, out of `n`, that take the requests of a trial. */
+/* Number of endpoints, out of `n`, that get the requests of a trial. */
 unsigned rol_trial_endpoints(const struct rol_record *r, unsigned n);
 
 /*
@@ -128,12 +135,13 @@
 
 /* ---- The record in the store ---- */
 
+/* Appends the record as JSON. */
 void rol_encode(const struct rol_record *r, struct buf *out);
 
-/* Returns false if the text is not a valid record. */
+/* Parses a stored record. Returns false if the text is not a valid record. */
 bool rol_decode(const char *text, size_t len, struct rol_record *out);
 
-/* Name of the stage in logs and in the stored record. */
+/* Name of the stage in logs and in the stored record; a static string. */
 const char *rol_stage_name(enum rol_stage s);
 
 #endif
--- a/lib/rollout/tally.h
+++ b/lib/rollout/tally.h
@@ -1,10 +1,11 @@
 /*
- * tally: outcomes of a service's requests during a roll-out, by version and route.
+ * tal (tally): outcomes of a service's requests during a roll-out, by version
+ * and route.
  *
- * Each entry counts its own requests, from 0 for each order. Counts only grow, so
- * the latest report of an entry replaces the earlier ones. Endpoints of the new
- * version are hashed into groups, to distinguish a fault of one endpoint from a
- * fault of the version.
+ * Each entry counts its own requests, from 0 for each order. Counts only grow,
+ * so the latest report of an entry replaces the earlier ones. Endpoints of the
+ * new version are hashed into groups, to distinguish a fault of one endpoint
+ * from a fault of the version.
  */
 #ifndef TALLY_H
 #define TALLY_H
@@ -19,8 +20,10 @@
 /* The group of all endpoints of other versions. */
 #define TAL_BASELINE 0
 
+/* Maximum number of rows, one for each used pair of route and group. */
 #define TAL_ROWS 128
 
+/* Counts of requests of a route and a group. */
 struct tal_row {
 	uint32_t route; /* hash of its name */
 	uint32_t group; /* TAL_BASELINE, or 1 to TAL_GROUPS */
@@ -36,9 +39,10 @@
 	struct tal_row rows[TAL_ROWS];
 };
 
+/* Outcome of a request. */
 enum tal_outcome {
 	TAL_GOOD,
-	TAL_LATE, /* much later than expected */
+	TAL_LATE, /* much later than predicted */
 	TAL_FAILED,
 	TAL_BROKEN, /* the connection broke */
 };
@@ -49,6 +53,10 @@
 /* The group of an endpoint of the new version. */
 uint32_t tal_group(uint64_t endpoint_hash);
 
+/*
+ * Count a sent request and an outcome. Ignored without an order or if TAL_ROWS
+ * is reached.
+ */
 void tal_sent(struct tal *t, uint32_t route, uint32_t group);
 void tal_answered(struct tal *t, uint32_t route, uint32_t group,
 		  enum tal_outcome o);
--- a/lib/rollout/verdict.c
+++ b/lib/rollout/verdict.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* Fractions of bad answers that the hypotheses assume. */
+/* Fractions of bad answers assumed by the hypotheses. */
 static const double bad_fractions[] = { 0.15, 0.35, 0.7 };
 #define NR_FRACTIONS (sizeof(bad_fractions) / sizeof(bad_fractions[0]))
 
@@ -19,7 +19,7 @@
 #define TOLERATED_FACTOR 1.5
 #define TOLERATED_RATE 0.01
 
-/* Minimum groups that contribute to a verdict, if there are as many endpoints. */
+/* Minimum groups needed for a verdict, if there are as many endpoints. */
 #define MIN_GROUPS 3
 
 /* Maximum evidence from broken connections of one group. */
@@ -103,11 +103,11 @@
 
 /* Log of the likelihood ratio of a hypothesis for one row. */
 static double log_likelihood_ratio(const struct tal_row *row, double rate,
-				   const struct hypothesis *c)
+				   const struct hypothesis *h)
 {
-	const double bad_rate = rate + c->fraction * (1 - rate);
-	const double bad = bad_answers(row, c->fault);
-	const double good = complete_answers(row, c->fault) - bad;
+	const double bad_rate = rate + h->fraction * (1 - rate);
+	const double bad = bad_answers(row, h->fault);
+	const double good = complete_answers(row, h->fault) - bad;
 
 	return bad * log(bad_rate / rate) +
 	       good * log((1 - bad_rate) / (1 - rate));
@@ -120,7 +120,7 @@
 
 /* Log of the likelihood ratio over all rows, capped at `most` per group. */
 static double log_evidence(const struct tal *t, const struct routes *r,
-			   const struct hypothesis *c, double most)
+			   const struct hypothesis *h, double max_group)
 {
 	double of_group[TAL_GROUPS + 1] = { 0 };
 	double broken[TAL_GROUPS + 1] = { 0 };
@@ -133,47 +133,49 @@
 		if (row->group == TAL_BASELINE || row->group > TAL_GROUPS)
 			continue;
 		at = route_index(r, row->route);
-		if (at == r->n || (c->route < r->n && at != c->route))
+		if (at == r->n || (h->route < r->n && at != h->route))
 			continue;
 		of_group[row->group] +=
-			log_likelihood_ratio(row, r->rate[at][c->fault], c);
+			log_likelihood_ratio(row, r->rate[at][h->fault], h);
 		broken[row->group] += row->broken;
 	}
 	for (i = 1; i <= TAL_GROUPS; i++) {
-		sum += min_of(of_group[i], most);
+		sum += min_of(of_group[i], max_group);
 		sum += min_of(broken[i], MAX_BROKEN_EVIDENCE);
 	}
 	return sum;
 }
 
 /*
- * Maximum evidence from one group: not sufficient by itself unless there is only
- * one endpoint.
+ * Maximum evidence from one group: not sufficient by itself unless there is
+ * only one endpoint.
  */
-static double max_group_evidence(double enough, unsigned endpoints)
+static double max_group_evidence(double required, unsigned endpoints)
 {
 	const unsigned groups = endpoints < MIN_GROUPS ? endpoints : MIN_GROUPS;
 
-	return enough / (groups > 1 ? groups - 0.5 : 1);
+	return required / (groups > 1 ? groups - 0.5 : 1);
 }
 
 struct vdt vdt_evaluate(const struct tal *t, unsigned endpoints)
 {
 	struct vdt v = { .evidence = 0 };
-	struct hypothesis c;
-	double most, sum = 0;
+	struct hypothesis h;
+	double max_group, sum = 0;
 	struct routes r;
 	unsigned k, n;
 
 	find_routes(t, &r);
 	n = (r.n + 1) * NR_FRACTIONS * NR_FAULTS;
 	/* A single hypothesis may provide all the evidence. */
-	most = max_group_evidence(log(VDT_FALSE_ALARMS) + log(n), endpoints);
-	for (c.fault = 0; c.fault < NR_FAULTS; c.fault++) {
-		for (c.route = 0; c.route <= r.n; c.route++) {
+	max_group =
+		max_group_evidence(log(VDT_FALSE_ALARMS) + log(n), endpoints);
+	for (h.fault = 0; h.fault < NR_FAULTS; h.fault++) {
+		for (h.route = 0; h.route <= r.n; h.route++) {
 			for (k = 0; k < NR_FRACTIONS; k++) {
-				c.fraction = bad_fractions[k];
-				sum += exp(log_evidence(t, &r, &c, most)) / n;
+				h.fraction = bad_fractions[k];
+				sum += exp(log_evidence(t, &r, &h, max_group)) /
+				       n;
 			}
 		}
 	}
--- a/lib/rollout/verdict.h
+++ b/lib/rollout/verdict.h
@@ -1,6 +1,6 @@
 /*
- * verdict: tests whether a new version of a service answers worse than the one it
- * replaces.
+ * vdt (verdict): tests whether a new version of a service answers worse than
+ * the one it replaces.
  *
  * A sequential test that is valid after every answer: the mean of likelihood
  * ratios over several hypotheses (a fraction of all answers, or of those on one
@@ -8,8 +8,9 @@
  * the same period. If the versions are alike, the mean ever exceeds 1 / alpha
  * with probability at most alpha (Ville's inequality).
  *
- * The evidence of each group of endpoints is capped, so that one faulty endpoint,
- * or a crash that breaks many answers at once, does not fail the version.
+ * The evidence of each group of endpoints is capped, so that one faulty
+ * endpoint, or a crash that breaks many answers at once, does not fail the
+ * version.
  */
 #ifndef VERDICT_H
 #define VERDICT_H
@@ -18,15 +19,21 @@
 
 #include "rollout/tally.h"
 
-/* A version as good as the baseline fails at most once in this many roll-outs. */
+/*
+ * A version as good as the baseline fails at most once in this many roll-outs.
+ */
 #define VDT_FALSE_ALARMS 2000.0
 
+/* Result of the test. */
 struct vdt {
 	double evidence; /* log of the mean likelihood ratio */
 	bool worse;
 };
 
-/* `endpoints`: number of endpoints of the new version that receive requests. */
+/*
+ * Evaluates the counts of all entries. `endpoints`: number of endpoints of the
+ * new version that receive requests.
+ */
 struct vdt vdt_evaluate(const struct tal *t, unsigned endpoints);
 
 #endif
--- a/scripts/rollout_test.sh
+++ b/scripts/rollout_test.sh
@@ -9,13 +9,15 @@
 . scripts/edge_cluster.sh
 trap cluster_stop EXIT
 
-# order SERVICE TARGET SECONDS
+# order SERVICE TARGET SECONDS: orders a version, with a deadline.
 order() {
 	curl -s -o /dev/null --data-binary \
 		"{\"service\":\"$1\",\"target\":\"$2\",\"withinS\":$3}" \
 		"http://$PLATFORM/test/put?key=op/rollout/$1"
 }
 
+# start_version SERVICE VERSION N [PERCENT]: starts N endpoints, which answer
+# PERCENT of their requests with errors.
 start_version() {
 	platform_test "start?service=$1&version=$2&n=$3&spoilt=${4:-0}" >/dev/null
 }
@@ -31,13 +33,15 @@
 state_is() { state "$1" | grep -q "\"state\":\"$2\""; }
 status_contains() { state "$1" | grep -q "$2"; }
 
-# runs SERVICE VERSION: prints the number of attempts run by its endpoints.
+# runs SERVICE VERSION: prints the number of attempts that its endpoints ran.
 runs() { platform_test versions | sed -n "s/^$1 $2 alive .* runs //p"; }
+# alive SERVICE VERSION: prints the number of its running endpoints.
 alive() { platform_test versions | sed -n "s/^$1 $2 alive \([0-9]*\) .*/\1/p"; }
 
 at_most() { [ "$1" -le "$2" ]; }
 
 # send_requests NAME PATH: sends to all entries in turn until DIR/stop exists.
+# Writes the status codes to DIR/answers-NAME.
 send_requests() {
 	local i=0
 	while [ ! -e "$DIR/stop" ]; do
@@ -51,8 +55,8 @@
 	done >"$DIR/answers-$1"
 }
 
-# begin_calls: starts callers on three routes, more of them for streams, which
-# take longer.
+# begin_calls: starts callers on three routes. Streams have more callers, since
+# they take longer.
 begin_calls() {
 	rm -f "$DIR/stop" "$DIR"/answers-*
 	CALLERS=
@@ -75,19 +79,22 @@
 
 failed_requests() { cat "$DIR"/answers-* | grep -vc '^200$'; }
 
-# within_exposure SERVICE VERSION BEFORE: at most a tenth of the runs since
-# BEFORE, plus the slack.
+# within_exposure SERVICE VERSION BEFORE: succeeds if VERSION ran at most a tenth
+# of the attempts since the count BEFORE, plus the slack of 50.
 within_exposure() {
 	local all
 	all=$(($(platform_test versions | sed -n "s/^$1 .* runs //p" |
 		paste -sd+) - $3))
 	at_most "$(runs "$1" "$2")" $((all / 10 + 50))
 }
+
+# all_runs SERVICE: prints the number of attempts of all versions.
 all_runs() {
 	echo $(($(platform_test versions | sed -n "s/^$1 .* runs //p" |
 		paste -sd+)))
 }
 
+# holder: prints the number of the entry that last took the duty lease.
 holder() {
 	grep -h '"event":"duty"' "$DIR"/edge-*.out | grep '"holding":true' |
 		sort | tail -1 | sed 's/.*"instance":"edge-\([0-9]*\)".*/\1/'
@@ -96,7 +103,7 @@
 start_edges || exit 1
 put_document 2 '"k1"'
 expect "a version is in force" wait_for everywhere in_force 2
-expect "an entry holds the duties" wait_for holder
+expect "an entry holds the duty lease" wait_for holder
 
 # A version that fails most of its requests.
 begin_calls
@@ -112,7 +119,7 @@
 AFTER=$(runs app v2)
 sleep 1
 expect "no requests after the roll-back" is "$(runs app v2)" "$AFTER"
-# Simulates a holder that exits before it writes the roll-back to the store.
+# Simulates a lease holder that exits before it stores the roll-back.
 curl -s -o /dev/null --data-binary @"$DIR/trial-record" \
 	"http://$PLATFORM/test/put?key=md/rollout/app"
 record_stage_is() { stored_value "md/rollout/$1" | grep -q "\"stage\":\"$2\""; }
@@ -135,7 +142,7 @@
 expect "all requests are answered" is "$(failed_requests)" 0
 expect "the former endpoints have stopped" is "$(alive app v1) $(alive llm v1)" "0 0"
 
-# The holder of the duties is killed during a roll-out.
+# The lease holder is killed during a roll-out.
 begin_calls
 order app v4 11
 expect "a third roll-out is in progress" wait_for status_contains app '"target":"v4","state":"in_progress"'
@@ -144,7 +151,7 @@
 N=$(holder)
 kill -9 "$(pid_of "edge-$N")"
 start_edge "$N" false
-expect "another holder completes it" \
+expect "a new lease holder completes it" \
 	wait_for status_contains app '"target":"v4","state":"completed"'
 end_calls
 
@@ -163,7 +170,7 @@
 	wait_for status_contains nobody "no such service"
 curl -s -o /dev/null --data-binary '{"target":"v6"}' \
 	"http://$PLATFORM/test/put?key=op/rollout/app"
-expect "an order without a time is refused" wait_for status_contains app withinS
+expect "an order without a deadline is refused" wait_for status_contains app withinS
 expect "requests are still answered" \
 	is "$(request 1 "last-$RANDOM" /l/x)" 200
 
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -1,4 +1,4 @@
-/* Roll-outs: counts, the verdict on a new version, steps, records, orders. */
+/* Tests roll-outs: counts, the verdict on a version, steps, records, orders. */
 #include <math.h>
 #include <string.h>
 
@@ -11,7 +11,10 @@
 
 #define NR_ROUTES 3
 
-/* Exposure limits, and the time allowed for a roll-back after 50 bad answers. */
+/*
+ * Exposure limits, and the time in ms allowed for a roll-back after BAD_ANSWERS
+ * bad answers.
+ */
 static const struct rol_limits limits = { 0.1, 50 };
 #define BAD_ANSWERS 50
 #define ROLL_BACK_MS 5000
@@ -45,7 +48,7 @@
 	CU_ASSERT_EQUAL(t.nr_rows, 0);
 }
 
-static void a_full_table_leaves_rows_out(void)
+static void a_full_table_drops_rows(void)
 {
 	struct tal t = { 0 };
 	uint32_t i;
@@ -91,13 +94,13 @@
 /* Number of answers of `target` until the verdict; 0 if none within `most`. */
 static unsigned answers_until_worse(struct rnd *r, const struct version *from,
 				    const struct version *target,
-				    unsigned endpoints, unsigned most)
+				    unsigned endpoints, unsigned max_answers)
 {
 	struct tal t = { 0 };
 	unsigned i, k;
 
 	tal_begin(&t, 1);
-	for (i = 1; i <= most; i++) {
+	for (i = 1; i <= max_answers; i++) {
 		for (k = 0; k < 20; k++)
 			answer(&t, r, from, TAL_BASELINE);
 		answer(&t, r, target, 1 + rnd_below(r, endpoints));
@@ -124,7 +127,7 @@
 	unit_report("good versions", seeds, alarms);
 }
 
-/* Guards against bad versions that get more requests than a verdict needs. */
+/* Guards against verdicts that need too many requests to a bad version. */
 static void half_bad_answers_are_detected_within_thirty(void)
 {
 	const unsigned long seeds = unit_seeds(300);
@@ -147,7 +150,8 @@
 	unit_report("bad versions", seeds, slow);
 }
 
-static void one_bad_route_is_enough(void)
+/* Guards against missing a version that fails on a single route. */
+static void one_bad_route_is_detected(void)
 {
 	struct version from = { { 0.01, 0.01, 0.01 }, { 0.02, 0.02, 0.02 } };
 	struct version bad = from;
@@ -160,8 +164,8 @@
 	CU_ASSERT(n > 0 && n < 90);
 }
 
-/* Guards against taking one faulty endpoint for a faulty version. */
-static void one_faulty_endpoint_is_no_verdict(void)
+/* Guards against mistaking a faulty endpoint for a faulty version. */
+static void one_faulty_endpoint_does_not_fail_a_version(void)
 {
 	const struct version from = { { 0.01, 0.01, 0.01 }, { 0 } };
 	const struct version faulty = { { 0.9, 0.9, 0.9 }, { 0 } };
@@ -189,7 +193,7 @@
 }
 
 /* Guards against roll-backs because endpoints of the target crashed. */
-static void crashes_of_a_few_endpoints_are_no_verdict(void)
+static void crashes_of_a_few_endpoints_do_not_fail_a_version(void)
 {
 	const struct version from = { { 0.01, 0.01, 0.01 }, { 0 } };
 	struct tal t = { 0 };
@@ -213,22 +217,26 @@
 
 /* ---- Schedules ---- */
 
+/* Behaviour of the simulated target version. */
 enum kind {
 	GOOD,
 	FAILS,
 	SLOW,
 	FAILS_LATER,
-	ONE_ROUTE,
-	UNDER_LOAD,
+	ONE_ROUTE,  /* fails on one route */
+	UNDER_LOAD, /* fails from half of the traffic on */
 	NR_KINDS
 };
 
 #define ENTRIES 12
 #define MAX_PENDING 4096
-#define TICK 50
-#define TOLD_EVERY 600
-#define HEARD_AFTER 100
 
+/* Simulation step, interval of reports, and delay of a new record, in ms. */
+#define TICK_MS 50
+#define REPORT_INTERVAL_MS 600
+#define PROPAGATION_MS 100
+
+/* A request in flight. */
 struct pending {
 	int64_t ends_ms; /* 0: free */
 	unsigned entry;
@@ -237,12 +245,12 @@
 };
 
 struct entry {
-	struct tal own, told;
+	struct tal own, reported; /* counts, and those last reported */
 	struct rol_record record; /* as known to the entry */
 	struct rol_record next;	  /* in transit */
 	int64_t next_ms;
 	int64_t partitioned_until_ms; /* receives nothing before */
-	int64_t told_ms;
+	int64_t next_report_ms;
 };
 
 struct simulation {
@@ -254,277 +262,286 @@
 	struct rol_record record; /* in the store */
 	struct entry entries[ENTRIES];
 	struct pending pending[MAX_PENDING];
-	int64_t holder_ms;    /* start of the holder's term */
-	double known_running; /* on former endpoints, as reported to the holder */
-	int64_t running_told_ms;
+	int64_t holder_since_ms; /* the lease holder's term began */
+	double known_running;	 /* reported requests on former endpoints */
+	int64_t next_running_report_ms;
 	bool moved;
 
 	/* Measured results. */
 	unsigned to_target, to_all; /* until the deadline */
 	unsigned bad;
 	int64_t bad_threshold_ms;
-	unsigned late_requests; /* sent more than ROLL_BACK_MS after that */
+	unsigned late_requests; /* to the target, ROLL_BACK_MS after that */
 	int64_t ended_ms;
-	unsigned streams_cut;	     /* ran on former endpoints at the end */
-	bool changed_after_rollback; /* the record changed after a roll-back */
-	bool ignore_bad_answers;     /* mutation: verdicts see no bad answers */
+	unsigned streams_cut;	     /* on former endpoints at completion */
+	bool changed_after_rollback; /* must not happen */
+	bool ignore_bad_answers;     /* mutation: no bad answers counted */
 	double limit_factor;	     /* mutation: multiplies the limits */
 };
 
-static bool answer_is_bad(struct simulation *w, uint32_t route)
+static bool answer_is_bad(struct simulation *sim, uint32_t route)
 {
-	switch (w->kind) {
+	switch (sim->kind) {
 	case FAILS:
 	case SLOW:
-		return rnd_unit(&w->r) < 0.5;
+		return rnd_unit(&sim->r) < 0.5;
 	case FAILS_LATER:
-		return w->now >= w->fails_from_ms && rnd_unit(&w->r) < 0.5;
+		return sim->now >= sim->fails_from_ms &&
+		       rnd_unit(&sim->r) < 0.5;
 	case ONE_ROUTE:
-		return route == 1 && rnd_unit(&w->r) < 0.7;
+		return route == 1 && rnd_unit(&sim->r) < 0.7;
 	case UNDER_LOAD:
-		return w->record.share >= 0.5 && rnd_unit(&w->r) < 0.6;
+		return sim->record.share >= 0.5 && rnd_unit(&sim->r) < 0.6;
 	default:
 		return false;
 	}
 }
 
-static void record_target_request(struct simulation *w, bool bad)
+static void record_target_request(struct simulation *sim, bool bad)
 {
-	if (w->now <= w->record.began_ms + w->within)
-		w->to_target++;
-	if (w->bad_threshold_ms && w->now > w->bad_threshold_ms + ROLL_BACK_MS)
-		w->late_requests++;
-	w->bad += bad;
-	if (w->bad >= BAD_ANSWERS && !w->bad_threshold_ms)
-		w->bad_threshold_ms = w->now;
+	if (sim->now <= sim->record.began_ms + sim->within)
+		sim->to_target++;
+	if (sim->bad_threshold_ms &&
+	    sim->now > sim->bad_threshold_ms + ROLL_BACK_MS)
+		sim->late_requests++;
+	sim->bad += bad;
+	if (sim->bad >= BAD_ANSWERS && !sim->bad_threshold_ms)
+		sim->bad_threshold_ms = sim->now;
 }
 
-static struct pending *free_slot(struct simulation *w)
+static struct pending *free_slot(struct simulation *sim)
 {
 	unsigned i;
 
 	for (i = 0; i < MAX_PENDING; i++) {
-		if (!w->pending[i].ends_ms)
-			return &w->pending[i];
+		if (!sim->pending[i].ends_ms)
+			return &sim->pending[i];
 	}
 	return NULL;
 }
 
-static void send_one(struct simulation *w)
+static void send_one(struct simulation *sim)
 {
-	const unsigned at = rnd_below(&w->r, ENTRIES);
-	struct entry *e = &w->entries[at];
-	const uint32_t route = rnd_below(&w->r, NR_ROUTES);
+	const unsigned at = rnd_below(&sim->r, ENTRIES);
+	struct entry *e = &sim->entries[at];
+	const uint32_t route = rnd_below(&sim->r, NR_ROUTES);
 	const bool all = e->record.share >= 1 && rol_in_progress(&e->record);
-	const bool stale = w->now - e->partitioned_until_ms < 0;
-	const bool tries =
+	const bool stale = sim->now - e->partitioned_until_ms < 0;
+	const bool to_target_version =
 		all ||
-		(!stale && rol_selects_target(&e->record, rnd_next(&w->r)));
-	const bool bad = tries && answer_is_bad(w, route);
-	struct pending *p = free_slot(w);
+		(!stale && rol_selects_target(&e->record, rnd_next(&sim->r)));
+	const bool bad = to_target_version && answer_is_bad(sim, route);
+	struct pending *p = free_slot(sim);
 
-	if (w->now <= w->record.began_ms + w->within)
-		w->to_all++;
+	if (sim->now <= sim->record.began_ms + sim->within)
+		sim->to_all++;
 	if (!p)
 		return;
 	p->entry = at;
 	p->route = route;
 	p->group = TAL_BASELINE;
-	if (tries)
+	if (to_target_version)
 		p->group = tal_group(rnd_below(
-			&w->r, rol_trial_endpoints(&e->record,
-						   (unsigned)w->endpoints)));
-	p->outcome = rnd_unit(&w->r) < 0.02 ? TAL_LATE : TAL_GOOD;
+			&sim->r,
+			rol_trial_endpoints(&e->record,
+					    (unsigned)sim->endpoints)));
+	p->outcome = rnd_unit(&sim->r) < 0.02 ? TAL_LATE : TAL_GOOD;
 	if (bad)
-		p->outcome = w->kind == SLOW ? TAL_LATE : TAL_FAILED;
-	p->ends_ms = w->now + 50 +
-		     (int64_t)(-log(1 - rnd_unit(&w->r) * 0.999) * 700) +
-		     (bad && w->kind == SLOW ? 1500 : 0);
+		p->outcome = sim->kind == SLOW ? TAL_LATE : TAL_FAILED;
+	p->ends_ms = sim->now + 50 +
+		     (int64_t)(-log(1 - rnd_unit(&sim->r) * 0.999) * 700) +
+		     (bad && sim->kind == SLOW ? 1500 : 0);
 	tal_sent(&e->own, route, p->group);
-	if (tries)
-		record_target_request(w, bad);
+	if (to_target_version)
+		record_target_request(sim, bad);
 }
 
-static void finish_requests(struct simulation *w)
+static void finish_requests(struct simulation *sim)
 {
-	const bool moving = rol_moves_streams(&w->record) &&
-			    w->record.stage == ROL_HAND_OVER &&
-			    w->now >= w->record.changed_ms + 300;
+	const bool moving = rol_moves_streams(&sim->record) &&
+			    sim->record.stage == ROL_HAND_OVER &&
+			    sim->now >= sim->record.changed_ms + 300;
 	unsigned i;
 
 	for (i = 0; i < MAX_PENDING; i++) {
-		struct pending *p = &w->pending[i];
+		struct pending *p = &sim->pending[i];
 
 		if (!p->ends_ms)
 			continue;
-		if (p->ends_ms <= w->now) {
-			tal_answered(&w->entries[p->entry].own, p->route,
+		if (p->ends_ms <= sim->now) {
+			tal_answered(&sim->entries[p->entry].own, p->route,
 				     p->group, p->outcome);
 			p->ends_ms = 0;
 		} else if (moving && p->group == TAL_BASELINE) {
-			p->group = tal_group(rnd_below(&w->r, 9));
-			record_target_request(w, false);
+			p->group = tal_group(rnd_below(&sim->r, 9));
+			record_target_request(sim, false);
 		}
 	}
 }
 
-static unsigned former_running(const struct simulation *w)
+static unsigned former_running(const struct simulation *sim)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < MAX_PENDING; i++)
-		n += w->pending[i].ends_ms &&
-		     w->pending[i].group == TAL_BASELINE;
+		n += sim->pending[i].ends_ms &&
+		     sim->pending[i].group == TAL_BASELINE;
 	return n;
 }
 
-static void deliver_messages(struct simulation *w)
+static void deliver_messages(struct simulation *sim)
 {
 	unsigned i;
 
 	for (i = 0; i < ENTRIES; i++) {
-		struct entry *e = &w->entries[i];
+		struct entry *e = &sim->entries[i];
 
-		if (e->next_ms && w->now >= e->next_ms &&
-		    w->now >= e->partitioned_until_ms) {
+		if (e->next_ms && sim->now >= e->next_ms &&
+		    sim->now >= e->partitioned_until_ms) {
 			e->record = e->next;
 			e->next_ms = 0;
 		}
-		if (w->now < e->told_ms || w->now < e->partitioned_until_ms)
+		if (sim->now < e->next_report_ms ||
+		    sim->now < e->partitioned_until_ms)
 			continue;
-		e->told_ms = w->now + TOLD_EVERY;
-		if (rnd_below(&w->r, 100) >= 3)
-			e->told = e->own;
+		e->next_report_ms = sim->now + REPORT_INTERVAL_MS;
+		if (rnd_below(&sim->r, 100) >= 3)
+			e->reported = e->own;
 	}
-	if (w->now >= w->running_told_ms) {
-		w->known_running = former_running(w);
-		w->running_told_ms = w->now + TOLD_EVERY;
+	if (sim->now >= sim->next_running_report_ms) {
+		sim->known_running = former_running(sim);
+		sim->next_running_report_ms = sim->now + REPORT_INTERVAL_MS;
 	}
 }
 
-static void run_holder(struct simulation *w)
+static void run_holder(struct simulation *sim)
 {
 	struct rol_limits l = limits;
 	struct tal sum = { 0 };
-	struct rol_observation s = { .now_ms = w->now,
-				     .counts_complete = w->now - w->holder_ms >=
-							1500,
-				     .required_endpoints = 4,
-				     .established = "v1",
-				     .counts = &sum };
-	const enum rol_stage before = w->record.stage;
+	struct rol_observation s = {
+		.now_ms = sim->now,
+		.counts_complete = sim->now - sim->holder_since_ms >= 1500,
+		.required_endpoints = 4,
+		.established = "v1",
+		.counts = &sum
+	};
+	const enum rol_stage before = sim->record.stage;
 	unsigned i;
 
-	l.exposure_share *= w->limit_factor;
-	l.exposure_slack *= w->limit_factor;
-	s.target_endpoints = w->now > w->record.began_ms + 900 ? w->endpoints
-							       : 0;
-	s.former_running = w->known_running;
+	l.exposure_share *= sim->limit_factor;
+	l.exposure_slack *= sim->limit_factor;
+	s.target_endpoints =
+		sim->now > sim->record.began_ms + 900 ? sim->endpoints : 0;
+	s.former_running = sim->known_running;
 	for (i = 0; i < ENTRIES; i++) {
-		const struct tal *t = &w->entries[i].told;
+		const struct tal *t = &sim->entries[i].reported;
 
 		tal_add(&sum, t->rows, t->nr_rows);
 	}
-	if (w->ignore_bad_answers) {
+	if (sim->ignore_bad_answers) {
 		for (i = 0; i < sum.nr_rows; i++)
 			sum.rows[i].failed = sum.rows[i].late = 0;
 	}
-	if (!rol_step(&w->record, &l, &s))
+	if (!rol_step(&sim->record, &l, &s))
 		return;
-	w->changed_after_rollback |= before == ROL_ROLLED_BACK;
-	if (w->record.stage == ROL_COMPLETED)
-		w->streams_cut = former_running(w);
-	if (!rol_in_progress(&w->record))
-		w->ended_ms = w->now;
+	sim->changed_after_rollback |= before == ROL_ROLLED_BACK;
+	if (sim->record.stage == ROL_COMPLETED)
+		sim->streams_cut = former_running(sim);
+	if (!rol_in_progress(&sim->record))
+		sim->ended_ms = sim->now;
 	for (i = 0; i < ENTRIES; i++) {
-		w->entries[i].next = w->record;
-		w->entries[i].next_ms = w->now + HEARD_AFTER;
+		sim->entries[i].next = sim->record;
+		sim->entries[i].next_ms = sim->now + PROPAGATION_MS;
 	}
 }
 
-static void inject_faults(struct simulation *w)
+static void inject_faults(struct simulation *sim)
 {
-	if (!rnd_below(&w->r, 400))
-		w->holder_ms = w->now;
-	if (!rnd_below(&w->r, 300))
-		w->entries[rnd_below(&w->r, ENTRIES)].partitioned_until_ms =
-			w->now + 500 + rnd_below(&w->r, 3000);
+	if (!rnd_below(&sim->r, 400))
+		sim->holder_since_ms = sim->now;
+	if (!rnd_below(&sim->r, 300))
+		sim->entries[rnd_below(&sim->r, ENTRIES)].partitioned_until_ms =
+			sim->now + 500 + rnd_below(&sim->r, 3000);
 }
 
-static void begin(struct simulation *w, uint64_t seed)
+static void begin_simulation(struct simulation *sim, uint64_t seed)
 {
 	struct rol_order o = { .version = 9, .service = "s", .target = "v2" };
 	struct rol_observation s = { .now_ms = 100000, .established = "v1" };
 	unsigned i;
 
-	rnd_seed(&w->r, seed);
-	w->kind = (enum kind)(seed % NR_KINDS);
-	w->now = s.now_ms;
-	w->within = 10000 + rnd_below(&w->r, 20000);
-	w->fails_from_ms =
-		w->now + rnd_below(&w->r, (uint32_t)(w->within * 2 / 3));
-	w->per_s = 60 + rnd_below(&w->r, 240);
-	w->endpoints = 4 + (int)rnd_below(&w->r, 60);
-	w->limit_factor = w->limit_factor > 0 ? w->limit_factor : 1;
-	o.within_ms = w->within;
-	rol_begin(&w->record, &o, &s);
+	rnd_seed(&sim->r, seed);
+	sim->kind = (enum kind)(seed % NR_KINDS);
+	sim->now = s.now_ms;
+	sim->within = 10000 + rnd_below(&sim->r, 20000);
+	sim->fails_from_ms =
+		sim->now + rnd_below(&sim->r, (uint32_t)(sim->within * 2 / 3));
+	sim->per_s = 60 + rnd_below(&sim->r, 240);
+	sim->endpoints = 4 + (int)rnd_below(&sim->r, 60);
+	sim->limit_factor = sim->limit_factor > 0 ? sim->limit_factor : 1;
+	o.within_ms = sim->within;
+	rol_begin(&sim->record, &o, &s);
 	for (i = 0; i < ENTRIES; i++) {
-		w->entries[i].record = w->record;
-		w->entries[i].told_ms = w->now + rnd_below(&w->r, TOLD_EVERY);
-		tal_begin(&w->entries[i].own, rol_order_id(&w->record));
+		sim->entries[i].record = sim->record;
+		sim->entries[i].next_report_ms =
+			sim->now + rnd_below(&sim->r, REPORT_INTERVAL_MS);
+		tal_begin(&sim->entries[i].own, rol_order_id(&sim->record));
 	}
 }
 
-static void run_schedule(struct simulation *w, uint64_t seed)
+static void run_schedule(struct simulation *sim, uint64_t seed)
 {
-	const double each = TICK / 1000.0;
+	const double tick_s = TICK_MS / 1000.0;
 	double due = 0;
 
-	begin(w, seed);
-	for (; w->now < w->record.began_ms + w->within + 6000; w->now += TICK) {
-		inject_faults(w);
-		for (due += w->per_s * each; due >= 1; due--)
-			send_one(w);
-		finish_requests(w);
-		deliver_messages(w);
-		run_holder(w);
+	begin_simulation(sim, seed);
+	for (; sim->now < sim->record.began_ms + sim->within + 6000;
+	     sim->now += TICK_MS) {
+		inject_faults(sim);
+		for (due += sim->per_s * tick_s; due >= 1; due--)
+			send_one(sim);
+		finish_requests(sim);
+		deliver_messages(sim);
+		run_holder(sim);
 	}
 }
 
-static bool exceeds_exposure(const struct simulation *w)
+static bool exceeds_exposure(const struct simulation *sim)
 {
-	return w->to_target >
-	       limits.exposure_share * w->to_all + limits.exposure_slack;
+	return sim->to_target >
+	       limits.exposure_share * sim->to_all + limits.exposure_slack;
 }
 
-/* The limit or a new holder may delay completion past the deadline. */
-static bool completed_in_time(const struct simulation *w)
+/* The limit or a new lease holder may delay completion past the deadline. */
+static bool completed_in_time(const struct simulation *sim)
 {
-	return w->record.stage == ROL_COMPLETED &&
-	       w->ended_ms <= w->record.began_ms + w->within + 4500;
+	return sim->record.stage == ROL_COMPLETED &&
+	       sim->ended_ms <= sim->record.began_ms + sim->within + 4500;
 }
 
 /*
- * Guards against bad versions that exceed the limit or get requests long after
- * they were detected, and against good ones that do not complete or cut streams.
+ * Simulates roll-outs with lost reports, partitions and changes of the lease
+ * holder. Guards against bad versions that exceed the exposure limit or get
+ * requests long after their detection, and against good versions that do not
+ * complete or cut streams.
  */
 static void schedules_keep_the_bounds(void)
 {
 	const unsigned long seeds = unit_seeds(120);
 	unsigned long violations = 0, unfinished = 0, missed = 0, i;
-	static struct simulation w;
+	static struct simulation sim;
 
 	for (i = 0; i < seeds; i++) {
-		memset(&w, 0, sizeof(w));
-		run_schedule(&w,
+		memset(&sim, 0, sizeof(sim));
+		run_schedule(&sim,
 			     unit_seed(i) / NR_KINDS * NR_KINDS + i % NR_KINDS);
-		violations += exceeds_exposure(&w) || w.late_requests ||
-			      w.changed_after_rollback;
-		if (w.kind == GOOD)
-			violations += w.streams_cut > 0;
-		unfinished += w.kind == GOOD && !completed_in_time(&w);
-		missed += (w.kind == FAILS || w.kind == SLOW) &&
-			  w.record.stage != ROL_ROLLED_BACK;
+		violations += exceeds_exposure(&sim) || sim.late_requests ||
+			      sim.changed_after_rollback;
+		if (sim.kind == GOOD)
+			violations += sim.streams_cut > 0;
+		unfinished += sim.kind == GOOD && !completed_in_time(&sim);
+		missed += (sim.kind == FAILS || sim.kind == SLOW) &&
+			  sim.record.stage != ROL_ROLLED_BACK;
 	}
 	CU_ASSERT_EQUAL(violations, 0);
 	CU_ASSERT(unfinished * 500 <= seeds);
@@ -532,22 +549,22 @@
 	unit_report("roll-outs", seeds, violations + unfinished + missed);
 }
 
-/* Guards against schedules that miss a violated bound. */
+/* Guards against schedules that do not detect a violated bound. */
 static void schedules_detect_broken_bounds(void)
 {
-	static struct simulation w;
+	static struct simulation sim;
 	unsigned ignoring_detected = 0, limits_detected = 0, i;
 
 	for (i = 0; i < 24; i++) {
-		memset(&w, 0, sizeof(w));
-		w.ignore_bad_answers = true;
-		run_schedule(&w, (uint64_t)i * NR_KINDS + FAILS);
-		ignoring_detected += w.late_requests > 0 ||
-				     w.record.stage != ROL_ROLLED_BACK;
-		memset(&w, 0, sizeof(w));
-		w.limit_factor = 4;
-		run_schedule(&w, (uint64_t)i * NR_KINDS + GOOD);
-		limits_detected += exceeds_exposure(&w);
+		memset(&sim, 0, sizeof(sim));
+		sim.ignore_bad_answers = true;
+		run_schedule(&sim, (uint64_t)i * NR_KINDS + FAILS);
+		ignoring_detected += sim.late_requests > 0 ||
+				     sim.record.stage != ROL_ROLLED_BACK;
+		memset(&sim, 0, sizeof(sim));
+		sim.limit_factor = 4;
+		run_schedule(&sim, (uint64_t)i * NR_KINDS + GOOD);
+		limits_detected += exceeds_exposure(&sim);
 	}
 	CU_ASSERT(ignoring_detected >= 20);
 	CU_ASSERT(limits_detected >= 20);
@@ -555,7 +572,7 @@
 
 /* ---- Single steps ---- */
 
-static struct rol_record begun(const char *target, int64_t within)
+static struct rol_record begin_rollout(const char *target, int64_t within)
 {
 	struct rol_order o = { .version = 3, .within_ms = within };
 	const struct rol_observation s = { .now_ms = 1000,
@@ -568,16 +585,17 @@
 	return r;
 }
 
+/* An order for the version that serves already needs no roll-out. */
 static void a_target_that_serves_is_completed_at_once(void)
 {
-	const struct rol_record r = begun("v1", 9000);
+	const struct rol_record r = begin_rollout("v1", 9000);
 
 	CU_ASSERT_EQUAL(r.stage, ROL_COMPLETED);
 }
 
-static void without_endpoints_it_is_rolled_back_in_time(void)
+static void a_roll_out_without_endpoints_is_rolled_back_in_time(void)
 {
-	struct rol_record r = begun("v2", 9000);
+	struct rol_record r = begin_rollout("v2", 9000);
 	struct tal none = { 0 };
 	struct rol_observation s = { .counts_complete = true,
 				     .required_endpoints = 2,
@@ -591,9 +609,9 @@
 	CU_ASSERT(!rol_step(&r, &limits, &s));
 }
 
-static void an_order_written_again_is_the_same(void)
+static void a_restored_order_matches_its_record(void)
 {
-	const struct rol_record r = begun("v2", 9000);
+	const struct rol_record r = begin_rollout("v2", 9000);
 	struct rol_order o = { .version = 3,
 			       .target = "v2",
 			       .within_ms = 9000 };
@@ -607,10 +625,10 @@
 	CU_ASSERT(!rol_matches_order(&r, &o));
 }
 
-/* Guards against requests to a version without a roll-out decision. */
+/* Guards against requests to a version that no roll-out admitted. */
 static void an_unknown_version_is_withheld(void)
 {
-	struct rol_record r = begun("v2", 9000);
+	struct rol_record r = begin_rollout("v2", 9000);
 	struct flt_info v1 = { .version = "v1" }, v2 = { .version = "v2" };
 	struct flt_info v3 = { .version = "v3" };
 
@@ -630,7 +648,7 @@
 	r.stage = ROL_COMPLETED;
 	r.changed_ms = 50000;
 	CU_ASSERT_EQUAL(rol_use(&r, "v1", &v1, false), FLT_WITHHELD);
-	v1.started_ms = 60000; /* started after the others were stopped */
+	v1.started_ms = 60000; /* started after the former endpoints stopped */
 	CU_ASSERT_EQUAL(rol_use(&r, "v1", &v1, false), FLT_IN_USE);
 	rol_roll_back(&r, "", 1);
 	CU_ASSERT_EQUAL(rol_use(&r, "v1", &v2, true), FLT_WITHHELD);
@@ -639,7 +657,7 @@
 
 static void a_key_stays_with_one_version(void)
 {
-	struct rol_record r = begun("v2", 9000);
+	struct rol_record r = begin_rollout("v2", 9000);
 	unsigned i, n = 0;
 
 	r.share = 0.1;
@@ -655,9 +673,9 @@
 
 /* ---- Records and orders ---- */
 
-static void records_come_back_as_written(void)
+static void records_are_decoded_as_encoded(void)
 {
-	struct rol_record r = begun("v\"2", 9000), out;
+	struct rol_record r = begin_rollout("v\"2", 9000), out;
 	BUF_AUTO text = BUF_INIT;
 
 	r.stage = ROL_HAND_OVER;
@@ -679,7 +697,7 @@
 	CU_ASSERT(!rol_decode(text.data, text.len - 2, &out));
 }
 
-static int order_of(const char *text, struct rol_order *out)
+static int decode_order(const char *text, struct rol_order *out)
 {
 	struct err e = ERR_INIT;
 
@@ -691,25 +709,25 @@
 {
 	struct rol_order o;
 
-	CU_ASSERT_EQUAL(order_of("{\"service\":\"chat\",\"target\":\"v2\","
-				 "\"withinS\":12.5}",
-				 &o),
+	CU_ASSERT_EQUAL(decode_order("{\"service\":\"chat\",\"target\":\"v2\","
+				     "\"withinS\":12.5}",
+				     &o),
 			0);
 	CU_ASSERT_EQUAL(o.within_ms, 12500);
-	CU_ASSERT(order_of("{\"target\":\"v2\"}", &o));
+	CU_ASSERT(decode_order("{\"target\":\"v2\"}", &o));
 	CU_ASSERT_STRING_EQUAL(o.target, "v2");
-	CU_ASSERT(order_of("{\"withinS\":12}", &o));
-	CU_ASSERT(order_of("{\"target\":\"v2\",\"withinS\":0}", &o));
-	CU_ASSERT(order_of("{\"target\":\"v2\",\"withinS\":-4}", &o));
-	CU_ASSERT(order_of("{\"target\":7,\"withinS\":[]}", &o));
-	CU_ASSERT(order_of("{\"service\":\"other\",\"target\":\"v2\","
-			   "\"withinS\":12}",
-			   &o));
-	CU_ASSERT(order_of("no json", &o));
+	CU_ASSERT(decode_order("{\"withinS\":12}", &o));
+	CU_ASSERT(decode_order("{\"target\":\"v2\",\"withinS\":0}", &o));
+	CU_ASSERT(decode_order("{\"target\":\"v2\",\"withinS\":-4}", &o));
+	CU_ASSERT(decode_order("{\"target\":7,\"withinS\":[]}", &o));
+	CU_ASSERT(decode_order("{\"service\":\"other\",\"target\":\"v2\","
+			       "\"withinS\":12}",
+			       &o));
+	CU_ASSERT(decode_order("no json", &o));
 	CU_ASSERT_STRING_EQUAL(o.service, "chat");
 }
 
-static void the_operator_reads_the_state(void)
+static void the_status_shows_the_state_to_operators(void)
 {
 	static const struct {
 		enum rol_stage stage;
@@ -724,7 +742,7 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		struct rol_record r = begun("v2", 9000);
+		struct rol_record r = begin_rollout("v2", 9000);
 		BUF_AUTO key = BUF_INIT;
 		BUF_AUTO value = BUF_INIT;
 
@@ -740,29 +758,30 @@
 static const struct unit_test tests[] = {
 	{ "counts are kept by order, route and group",
 	  counts_are_kept_by_order_route_and_group },
-	{ "a full table leaves rows out", a_full_table_leaves_rows_out },
+	{ "a full table drops rows", a_full_table_drops_rows },
 	{ "a version as good is not rolled back",
 	  a_version_as_good_is_not_rolled_back },
 	{ "half bad answers are detected within thirty",
 	  half_bad_answers_are_detected_within_thirty },
-	{ "one bad route is enough", one_bad_route_is_enough },
-	{ "one faulty endpoint is no verdict",
-	  one_faulty_endpoint_is_no_verdict },
-	{ "crashes of a few endpoints are no verdict",
-	  crashes_of_a_few_endpoints_are_no_verdict },
+	{ "one bad route is detected", one_bad_route_is_detected },
+	{ "one faulty endpoint does not fail a version",
+	  one_faulty_endpoint_does_not_fail_a_version },
+	{ "crashes of a few endpoints do not fail a version",
+	  crashes_of_a_few_endpoints_do_not_fail_a_version },
 	{ "schedules keep the bounds", schedules_keep_the_bounds },
 	{ "schedules detect broken bounds", schedules_detect_broken_bounds },
 	{ "a target that serves is completed at once",
 	  a_target_that_serves_is_completed_at_once },
-	{ "without endpoints it is rolled back in time",
-	  without_endpoints_it_is_rolled_back_in_time },
-	{ "an order written again is the same",
-	  an_order_written_again_is_the_same },
+	{ "a roll-out without endpoints is rolled back in time",
+	  a_roll_out_without_endpoints_is_rolled_back_in_time },
+	{ "a restored order matches its record",
+	  a_restored_order_matches_its_record },
 	{ "an unknown version is withheld", an_unknown_version_is_withheld },
 	{ "a key stays with one version", a_key_stays_with_one_version },
-	{ "records come back as written", records_come_back_as_written },
+	{ "records are decoded as encoded", records_are_decoded_as_encoded },
 	{ "invalid orders are refused", invalid_orders_are_refused },
-	{ "the operator reads the state", the_operator_reads_the_state },
+	{ "the status shows the state to operators",
+	  the_status_shows_the_state_to_operators },
 };
 
 UNIT_MAIN("rollout", tests)
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -101,7 +101,7 @@
 
 /* ---- Choice of an endpoint ---- */
 
-/* Reference implementation: the best score over all endpoints. */
+/* Reference implementation: the best score of all endpoints, same formula. */
 static double reference_best(struct route_endpoint *eps, size_t n,
 			     const struct prefix *px,
 			     const struct route_query *query, int64_t now)
