--- a/lib/fleet/flt.h
+++ b/lib/fleet/flt.h
@@ -101,6 +101,7 @@
 #define FLT_REMOVED_KEEP_MS 60000
 #define FLT_MAX_REMOVED 256
 
+/* The table. Callers may iterate over `endpoints` but not change the table. */
 struct flt {
 	struct cds_list_head endpoints;
 	struct flt_endpoint *ids;    /* hash table by info.id */
--- a/lib/route/pick.c
+++ b/lib/route/pick.c
@@ -171,7 +171,7 @@
 
 struct pick_result pick_endpoint(struct flt *f, const struct pick_query *q)
 {
-	const struct flt_endpoint *first = first_choice(f, q);
+	const struct flt_endpoint *preferred = first_choice(f, q);
 	struct pick_result best = { .endpoint = NULL }, r;
 	struct flt_endpoint *e;
 	const unsigned candidates = count_candidates(f, q);
@@ -183,7 +183,7 @@
 		if (!is_candidate(q, e))
 			continue;
 		remaining--;
-		p_cached = cached_probability(q, e, e == first);
+		p_cached = cached_probability(q, e, e == preferred);
 		/* Falls back to the last candidate if the sample is empty. */
 		if (!p_cached && !in_sample(q, e, probability) &&
 		    (best.endpoint || remaining))
