--- a/lib/edge/conf.c
+++ b/lib/edge/conf.c
@@ -14,7 +14,7 @@
 
 struct raw {
 	struct conf c;
-	char duties[CONF_DUTIES][CONF_NAME];
+	char duties[CONF_MAX_DUTIES][CONF_NAME_SIZE];
 	size_t nr_duties;
 };
 
@@ -59,8 +59,8 @@
 
 static const struct jsn_field cloud_fields[] = {
 	TEXT("address", cloud.address),
-	{ "duties", JSN_STRLIST, offsetof(struct raw, duties), CONF_NAME, 0,
-	  CONF_DUTIES, NULL, true, JSN_ANY, NULL, NULL, CONF_NAME,
+	{ "duties", JSN_STRLIST, offsetof(struct raw, duties), CONF_NAME_SIZE,
+	  0, CONF_MAX_DUTIES, NULL, true, JSN_ANY, NULL, NULL, CONF_NAME_SIZE,
 	  offsetof(struct raw, nr_duties) },
 	REAL("duty_calls_per_s", cloud.calls_per_s, 0.01, 1e9, "calls/s"),
 	JSN_END,
@@ -122,7 +122,7 @@
 	{ "first_start", JSN_BOOL, AT(first_start), 0, 0, 0, NULL, true,
 	  JSN_ANY, NULL, NULL, 0, 0 },
 	OBJECT("listen", listen_fields, false),
-	WHOLE("first_internal_port", first_port, 0, 65535, "", false),
+	WHOLE("first_internal_port", first_internal_port, 0, 65535, "", false),
 	OBJECT("store", store_fields, false),
 	OBJECT("cloud", cloud_fields, true),
 	OBJECT("limits", limit_fields, true),
--- a/lib/edge/conf.h
+++ b/lib/edge/conf.h
@@ -13,29 +13,29 @@
 
 #include "base/err.h"
 
-#define CONF_NAME 64
-#define CONF_ADDRESS 32
-#define CONF_DUTIES 8
+#define CONF_NAME_SIZE 64
+#define CONF_ADDRESS_SIZE 32
+#define CONF_MAX_DUTIES 8
 
 struct conf {
-	char name[CONF_NAME];
-	char zone[CONF_NAME];
-	char region[CONF_NAME];
-	char ip[CONF_NAME];
+	char name[CONF_NAME_SIZE];
+	char zone[CONF_NAME_SIZE];
+	char region[CONF_NAME_SIZE];
+	char ip[CONF_NAME_SIZE];
 	bool first_start; /* of the whole system: nothing was there before */
 	struct {
-		char callers[CONF_ADDRESS];
-		char ready[CONF_ADDRESS];
-		char lookup[CONF_ADDRESS];
+		char callers[CONF_ADDRESS_SIZE];
+		char ready[CONF_ADDRESS_SIZE];
+		char lookup[CONF_ADDRESS_SIZE];
 	} listen;
-	int64_t first_port; /* of the entries' own traffic */
+	int64_t first_internal_port; /* of the entries' own traffic */
 	struct {
-		char address[CONF_ADDRESS];
+		char address[CONF_ADDRESS_SIZE];
 		int64_t writes_per_s, reads_per_s;
 		int64_t min_lease_ms;
 	} store;
 	struct {
-		char address[CONF_ADDRESS]; /* "": no duties */
+		char address[CONF_ADDRESS_SIZE]; /* "": no duties */
 		bool usage, scaling;
 		double calls_per_s;
 	} cloud;
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -55,18 +55,21 @@
 	struct edge_metrics *x = &en->m;
 
 	x->requests = met_counter(m, "requests_total", "requests read whole");
-	x->passed = met_counter(m, "answers_passed_total",
-				"answers of endpoints given to callers");
-	x->refused = met_counter(m, "answers_refused_total",
-				 "requests told that they were not run");
-	x->failed = met_counter(m, "answers_failed_total",
-				"requests told that no answer came");
-	x->cut = met_counter(m, "streams_cut_total",
-			     "answers broken off half-way");
-	x->gone = met_counter(m, "callers_gone_total",
-			      "callers who left before their answer");
-	x->denied = met_counter(m, "requests_denied_total",
-				"requests that are wrong or not allowed");
+	x->answers_passed =
+		met_counter(m, "answers_passed_total",
+			    "answers of endpoints given to callers");
+	x->answers_refused =
+		met_counter(m, "answers_refused_total",
+			    "requests told that they were not run");
+	x->answers_failed = met_counter(m, "answers_failed_total",
+					"requests told that no answer came");
+	x->streams_cut = met_counter(m, "streams_cut_total",
+				     "answers broken off half-way");
+	x->callers_gone = met_counter(m, "callers_gone_total",
+				      "callers who left before their answer");
+	x->requests_denied =
+		met_counter(m, "requests_denied_total",
+			    "requests that are wrong or not allowed");
 	x->sends = met_counter(m, "sends_total", "requests sent to endpoints");
 	x->resends = met_counter(m, "resends_total", "sent once more");
 	x->resumes = met_counter(m, "resumes_total",
@@ -80,16 +83,17 @@
 	x->endpoints_ended =
 		met_counter(m, "endpoints_ended_total",
 			    "endpoints that ended under our requests");
-	x->suspected = met_counter(m, "requests_suspected_total",
-				   "ends held against a request");
-	x->convicted = met_counter(m, "requests_convicted_total",
-				   "requests known to end endpoints");
-	x->withheld = met_counter(m, "requests_withheld_total",
-				  "attempts of such requests not sent");
-	x->not_run = met_counter(m, "sends_not_run_total",
-				 "sends that endpoints did not run");
-	x->lost = met_counter(m, "sends_lost_total",
-			      "sends whose outcome is unknown");
+	x->requests_suspected = met_counter(m, "requests_suspected_total",
+					    "ends held against a request");
+	x->requests_convicted = met_counter(m, "requests_convicted_total",
+					    "requests known to end endpoints");
+	x->requests_withheld =
+		met_counter(m, "requests_withheld_total",
+			    "attempts of such requests not sent");
+	x->sends_not_run = met_counter(m, "sends_not_run_total",
+				       "sends that endpoints did not run");
+	x->sends_lost = met_counter(m, "sends_lost_total",
+				    "sends whose outcome is unknown");
 	register_store_metrics(m, x);
 	x->entries_unreadable =
 		met_counter(m, "endpoint_entries_unreadable_total",
@@ -99,8 +103,8 @@
 	x->store_returns = met_counter(
 		m, "store_returns_total",
 		"times that the store came back from an older copy");
-	x->refreshes = met_counter(m, "config_checks_total",
-				   "readings of the configuration");
+	x->config_checks = met_counter(m, "config_checks_total",
+				       "readings of the configuration");
 	x->usage_reports =
 		met_counter(m, "usage_reports_total", "usage reports sent");
 	x->scale_orders =
@@ -110,7 +114,7 @@
 	x->rollouts_rolled_back =
 		met_counter(m, "rollouts_rolled_back_total",
 			    "roll-outs that were rolled back");
-	x->sent_on_trial = met_counter(
+	x->sends_on_trial = met_counter(
 		m, "sends_on_trial_total",
 		"requests sent to a version that is being rolled out");
 	x->lines_dropped = met_gauge(m, "log_lines_dropped",
@@ -196,9 +200,9 @@
 		return;
 	}
 	/* Bounds change at once; addresses hold until the next start. */
-	en->conf_now.bounds = c.bounds;
-	en->conf_now.list_ttl_s = c.list_ttl_s;
-	en->conf_now.policy = c.policy;
+	en->mutable_conf.bounds = c.bounds;
+	en->mutable_conf.list_ttl_s = c.list_ttl_s;
+	en->mutable_conf.policy = c.policy;
 	log_event(en, "reloaded");
 }
 
@@ -212,8 +216,8 @@
 	(void)loop;
 	(void)revents;
 	edge_store_tick(en, now);
-	if (now - en->peers_ms >= PEER_MS) {
-		en->peers_ms = now;
+	if (now - en->gossip_round_ms >= PEER_MS) {
+		en->gossip_round_ms = now;
 		edge_peer_tick(en, now);
 	}
 	edge_duty_tick(en, now);
@@ -226,7 +230,7 @@
 
 /* Opens at `at`, and writes there which port it is (0: any free one). */
 static int open_server(struct edge *en, struct hsc_server *s,
-		       char at[CONF_ADDRESS], const struct hsc_vtable *vt,
+		       char at[CONF_ADDRESS_SIZE], const struct hsc_vtable *vt,
 		       struct err *e)
 {
 	struct sockaddr_in addr;
@@ -234,17 +238,17 @@
 	if (ioc_address(at, &addr, e) ||
 	    hsc_server_open(s, en->loop, &addr, vt, en, e))
 		return -1;
-	hsc_server_address(s, at, CONF_ADDRESS);
+	hsc_server_address(s, at, CONF_ADDRESS_SIZE);
 	return 0;
 }
 
 static int open_servers(struct edge *en, struct err *e)
 {
-	struct conf *c = &en->conf_now;
+	struct conf *c = &en->mutable_conf;
 
-	if (open_server(en, &en->ready, c->listen.ready, &edge_look_vtable,
+	if (open_server(en, &en->ready, c->listen.ready, &edge_lookup_vtable,
 			e) ||
-	    open_server(en, &en->lookup, c->listen.lookup, &edge_look_vtable,
+	    open_server(en, &en->lookup, c->listen.lookup, &edge_lookup_vtable,
 			e) ||
 	    open_server(en, &en->callers, c->listen.callers,
 			&edge_caller_vtable, e))
@@ -274,11 +278,11 @@
 	en->source = edge_source(c->name, en->boot);
 	rnd_seed(&en->rnd, en->boot);
 	CDS_INIT_LIST_HEAD(&en->requests);
-	CDS_INIT_LIST_HEAD(&en->verifying);
+	CDS_INIT_LIST_HEAD(&en->awaiting_config);
 	CDS_INIT_LIST_HEAD(&en->followers);
 	register_metrics(en);
 	force_init(&en->force);
-	flt_init(&en->fleet, edge_unlink);
+	flt_init(&en->fleet, edge_conn_pool_free);
 	CDS_INIT_LIST_HEAD(&en->models);
 	parts_init(&en->parts);
 	acct_init(&en->accounts, &slack);
@@ -301,7 +305,7 @@
 	jlog_str(en->log, "callers", en->conf->listen.callers);
 	jlog_str(en->log, "lookup", en->conf->listen.lookup);
 	jlog_str(en->log, "ready", en->conf->listen.ready);
-	jlog_str(en->log, "peers", en->self_peers);
+	jlog_str(en->log, "peers", en->peer_address);
 	jlog_str(en->log, "store", en->conf->store.address);
 	jlog_bool(en->log, "usage", en->conf->cloud.usage);
 	jlog_bool(en->log, "scaling", en->conf->cloud.scaling);
@@ -316,7 +320,7 @@
 	hsc_server_close(&en->ready);
 	hsc_server_close(&en->lookup);
 	hsc_server_close(&en->peers);
-	close(en->datagrams);
+	close(en->gossip_fd);
 	jlog_free(en->log);
 }
 
@@ -330,8 +334,8 @@
 	assert(en);
 	en->loop = ev_default_loop(EVFLAG_AUTO);
 	en->clk = clk;
-	en->conf_now = *conf;
-	en->conf = &en->conf_now;
+	en->mutable_conf = *conf;
+	en->conf = &en->mutable_conf;
 	en->settings_path = settings_path;
 	en->wire = wire;
 	init(en);
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -12,7 +12,7 @@
 
 /* ---- Bookkeeping of a send ---- */
 
-void edge_first_event_seen(struct edge_req *r)
+void edge_prefill_done(struct edge_req *r)
 {
 	r->endpoint->prefill_tokens -= r->prefill_tokens;
 	r->prefill_tokens = 0;
@@ -30,39 +30,39 @@
 	if (r->call)
 		htc_cancel(r->call);
 	r->call = NULL;
-	edge_move_stop(r);
+	edge_move_cancel(r);
 	memset(&r->hand, 0, sizeof(r->hand));
-	edge_first_event_seen(r);
+	edge_prefill_done(r);
 	r->endpoint->running--;
 	flt_unref(&r->en->fleet, r->endpoint);
 	r->endpoint = NULL;
 	edge_fatal_stopped(r);
 }
 
-void edge_log_outcome(struct edge_req *r, const char *outcome, int status)
+void edge_log_send_ended(struct edge_req *r, const char *outcome, int status)
 {
 	struct edge *en = r->en;
 	const int64_t now = edge_now(en);
 
 	met_observe(en->m.endpoint_ms, now - r->sent_ms);
 	jlog_begin(en->log, JLOG_INFO, "send_ended");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_str(en->log, "endpoint", r->endpoint->info.id);
 	jlog_str(en->log, "outcome", outcome);
 	jlog_int(en->log, "status", status);
 	jlog_int(en->log, "events", (int64_t)r->events.events);
 	jlog_int(en->log, "first_ms",
-		 r->first_ms ? r->first_ms - r->sent_ms : -1);
+		 r->first_event_ms ? r->first_event_ms - r->sent_ms : -1);
 	jlog_int(en->log, "took_ms", now - r->sent_ms);
 	jlog_end(en->log);
 }
 
 static void count_run(struct edge_req *r, int64_t true_ms)
 {
-	if (r->counted || !r->account)
+	if (r->usage_counted || !r->account)
 		return;
-	r->counted = true;
-	edge_duty_count(r, true_ms);
+	r->usage_counted = true;
+	edge_duty_count_run(r, true_ms);
 }
 
 /* ---- Steps ---- */
@@ -70,8 +70,8 @@
 /* Time and another endpoint for one more send? */
 static bool may_send_again(struct edge_req *r)
 {
-	return r->until_ms - edge_now(r->en) > MIN_TIME_MS &&
-	       (!r->reached || edge_may_repeat(r, false));
+	return r->deadline_at_ms - edge_now(r->en) > MIN_TIME_MS &&
+	       (!r->sends_reached || edge_may_retry(r, false));
 }
 
 static void cut(struct edge_req *r, const char *why)
@@ -79,9 +79,9 @@
 	struct edge *en = r->en;
 	struct hsc *c = r->conn;
 
-	met_inc(en->m.cut);
+	met_inc(en->m.streams_cut);
 	jlog_begin(en->log, JLOG_WARN, "cut");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_str(en->log, "why", why);
 	jlog_int(en->log, "events", (int64_t)r->events.events);
 	jlog_int(en->log, "held_ms", edge_now(en) - r->arrived_ms);
@@ -121,7 +121,7 @@
 
 static void tried(struct edge_req *r)
 {
-	if (r->nr_tried == EDGE_EXCLUDED)
+	if (r->nr_tried == EDGE_MAX_EXCLUDED)
 		return;
 	/* Another endpoint in its memory must not count as tried. */
 	flt_ref(r->endpoint);
@@ -130,32 +130,32 @@
 
 static void not_run(struct edge_req *r, enum flt_outcome o, const char *why)
 {
-	met_inc(r->en->m.not_run);
+	met_inc(r->en->m.sends_not_run);
 	flt_note(r->endpoint, o, edge_now(r->en));
-	edge_log_outcome(r, why, r->reply.status);
+	edge_log_send_ended(r, why, r->reply.status);
 	tried(r);
 	edge_send_stop(r);
 }
 
-void edge_not_run(struct edge_req *r, enum flt_outcome o, const char *why)
+void edge_send_not_run(struct edge_req *r, enum flt_outcome o, const char *why)
 {
 	not_run(r, o, why);
 	edge_step(r, rq_refused(&r->rq, may_send_again(r)), why);
 }
 
-void edge_unreached(struct edge_req *r, const char *why)
+void edge_send_unreached(struct edge_req *r, const char *why)
 {
 	not_run(r, FLT_UNREACHABLE, why);
-	r->reached--;
-	edge_unpay(r);
+	r->sends_reached--;
+	edge_retry_refund(r);
 	edge_step(r, rq_unreached(&r->rq, may_send_again(r)), why);
 }
 
 static void lost(struct edge_req *r, enum flt_outcome o, const char *why)
 {
-	met_inc(r->en->m.lost);
+	met_inc(r->en->m.sends_lost);
 	flt_note(r->endpoint, o, edge_now(r->en));
-	edge_log_outcome(r, why, r->reply.status);
+	edge_log_send_ended(r, why, r->reply.status);
 	if (!r->streaming)
 		count_run(r, r->sent_true_ms);
 	tried(r);
@@ -170,21 +170,21 @@
 	struct edge_req *r = htc_owner(call);
 	struct edge *en = r->en;
 
-	en->wire->reply(m, &r->a, &r->reply);
+	en->wire->decode_answer(m, &r->attempt, &r->reply);
 	if (r->reply.other) {
 		jlog_begin(en->log, JLOG_WARN, "foreign_answer");
-		jlog_str(en->log, "id", r->a.id);
+		jlog_str(en->log, "id", r->attempt.id);
 		jlog_str(en->log, "endpoint", r->endpoint->info.id);
 		jlog_end(en->log);
 		return false;
 	}
-	buf_reset(&r->body);
+	buf_reset(&r->answer_body);
 	r->streaming = r->reply.events && r->reply.status / 100 == 2 &&
 		       r->reply.sealed && !r->reply.encoded;
 	/* Of a resumed stream the caller has the first endpoint's head. */
 	if (!r->streaming || !r->rq.started) {
-		buf_reset(&r->head);
-		en->wire->reply_head(m, &r->head);
+		buf_reset(&r->answer_head);
+		en->wire->encode_answer_head(m, &r->answer_head);
 	}
 	return true;
 }
@@ -192,13 +192,13 @@
 static void put_stream_head(struct edge_req *r, struct buf *out)
 {
 	rq_started(&r->rq);
-	buf_add(out, r->head.data, r->head.len);
+	buf_add(out, r->answer_head.data, r->answer_head.len);
 	hmsg_put(out, "Transfer-Encoding", "chunked");
-	r->said_last = hsc_last(r->conn);
-	if (r->said_last)
+	r->announced_close = hsc_last(r->conn);
+	if (r->announced_close)
 		hmsg_put(out, "Connection", "close");
 	hmsg_put_end(out);
-	buf_free(&r->head);
+	buf_free(&r->answer_head);
 }
 
 /* The longest pause between events, also across a resumption. */
@@ -206,9 +206,9 @@
 {
 	const int64_t now = edge_now(r->en);
 
-	if (r->event_ms && now - r->event_ms > r->pause_ms)
-		r->pause_ms = now - r->event_ms;
-	r->event_ms = now;
+	if (r->last_event_ms && now - r->last_event_ms > r->max_pause_ms)
+		r->max_pause_ms = now - r->last_event_ms;
+	r->last_event_ms = now;
 }
 
 static void pass_events(struct edge_req *r, const char *data, size_t len)
@@ -223,15 +223,15 @@
 	if (!n)
 		return;
 	edge_rollout_answered(r);
-	if (!r->first_ms || r->prefill_tokens > 0) {
-		if (!r->first_ms) {
-			r->first_ms = edge_now(en);
+	if (!r->first_event_ms || r->prefill_tokens > 0) {
+		if (!r->first_event_ms) {
+			r->first_event_ms = edge_now(en);
 			met_observe(en->m.first_event_ms,
-				    r->first_ms - r->arrived_ms);
+				    r->first_event_ms - r->arrived_ms);
 		}
 		if (r->prefill_tokens > 0)
-			edge_learn_first(r);
-		edge_first_event_seen(r);
+			edge_learn_first_event(r);
+		edge_prefill_done(r);
 		count_run(r, truth_now(&en->truth, edge_now(en)));
 	}
 	note_pause(r);
@@ -241,7 +241,7 @@
 	hsc_write(r->conn, out.data, out.len);
 	/* All events that the stopped run made are there: it goes on. */
 	if (hand_event(&r->hand, r->events.last_id) == HAND_CONTINUE)
-		edge_move_on(r);
+		edge_move_continue(r);
 }
 
 static void on_body(struct htc_call *call, const char *data, size_t len)
@@ -252,8 +252,8 @@
 		pass_events(r, data, len);
 		return;
 	}
-	if (r->body.len + len <= MAX_ANSWER)
-		buf_add(&r->body, data, len);
+	if (r->answer_body.len + len <= MAX_ANSWER)
+		buf_add(&r->answer_body, data, len);
 }
 
 static void log_passed(struct edge_req *r)
@@ -261,18 +261,18 @@
 	struct edge *en = r->en;
 	const int64_t now = edge_now(en);
 
-	met_inc(en->m.passed);
+	met_inc(en->m.answers_passed);
 	met_observe(en->m.answer_ms, now - r->arrived_ms);
 	jlog_begin(en->log, JLOG_INFO, "passed");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_str(en->log, "route", r->route->name);
 	jlog_int(en->log, "objective_ms", r->route->objective_ms);
-	jlog_int(en->log, "pause_ms", r->pause_ms);
+	jlog_int(en->log, "pause_ms", r->max_pause_ms);
 	jlog_int(en->log, "pause_bound_ms", r->route->gap_ms);
 	jlog_int(en->log, "status", r->reply.status);
 	jlog_int(en->log, "runs", r->rq.runs);
 	jlog_int(en->log, "first_ms",
-		 r->first_ms ? r->first_ms - r->arrived_ms : -1);
+		 r->first_event_ms ? r->first_event_ms - r->arrived_ms : -1);
 	jlog_int(en->log, "took_ms", now - r->arrived_ms);
 	jlog_end(en->log);
 }
@@ -285,13 +285,13 @@
 
 	if (!r->rq.started)
 		put_stream_head(r, &out);
-	last = r->said_last;
+	last = r->announced_close;
 	hmsg_put_chunk(&out, "", 0);
 	rq_answered(&r->rq, true, false);
 	flt_note(r->endpoint, FLT_GOOD, edge_now(r->en));
-	edge_fatal_whole(r);
-	edge_learn_end(r);
-	edge_log_outcome(r, "complete", r->reply.status);
+	edge_fatal_answered(r);
+	edge_learn_completed(r);
+	edge_log_send_ended(r, "complete", r->reply.status);
 	log_passed(r);
 	edge_send_stop(r);
 	hsc_write(c, out.data, out.len);
@@ -318,14 +318,15 @@
 			     r->reply.status == 304;
 	BUF_AUTO out = BUF_INIT;
 
-	buf_add(&out, r->head.data, r->head.len);
+	buf_add(&out, r->answer_head.data, r->answer_head.len);
 	if (!no_body)
-		hmsg_put_int(&out, "Content-Length", (int64_t)r->body.len);
+		hmsg_put_int(&out, "Content-Length",
+			     (int64_t)r->answer_body.len);
 	if (last)
 		hmsg_put(&out, "Connection", "close");
 	hmsg_put_end(&out);
 	if (!no_body)
-		buf_add(&out, r->body.data, r->body.len);
+		buf_add(&out, r->answer_body.data, r->answer_body.len);
 	log_passed(r);
 	edge_send_stop(r);
 	hsc_write(c, out.data, out.len);
@@ -355,13 +356,13 @@
 	flt_note(r->endpoint, good ? FLT_GOOD : FLT_FAILED, edge_now(en));
 	if (good) {
 		edge_rollout_answered(r);
-		edge_learn_end(r);
+		edge_learn_completed(r);
 	} else {
 		edge_rollout_failed(r, false);
 	}
 	if (r->reply.status / 100 == 2 && good)
-		edge_fatal_whole(r);
-	edge_log_outcome(r, good ? "answered" : "error", r->reply.status);
+		edge_fatal_answered(r);
+	edge_log_send_ended(r, good ? "answered" : "error", r->reply.status);
 	tried(r);
 	step = rq_answered(&r->rq, good, may_send_again(r));
 	if (step == RQ_PASS) {
@@ -376,7 +377,7 @@
 static bool handed_on(struct edge_req *r, enum hand_step step)
 {
 	if (step == HAND_CONTINUE)
-		edge_move_on(r);
+		edge_move_continue(r);
 	return step == HAND_CONTINUE || step == HAND_WAIT;
 }
 
@@ -385,7 +386,7 @@
 	if (handed_on(r, hand_broke(&r->hand)))
 		return;
 	edge_rollout_failed(r, by_connection);
-	edge_fatal_broke(r);
+	edge_fatal_send_broken(r);
 	lost(r, FLT_FAILED, why);
 }
 
@@ -395,8 +396,9 @@
 
 	r->call = NULL;
 	if (r->reply.not_run) {
-		edge_not_run(r, r->reply.misdirected ? FLT_WRONG : FLT_BUSY,
-			     "refused by endpoint");
+		edge_send_not_run(r,
+				  r->reply.misdirected ? FLT_WRONG : FLT_BUSY,
+				  "refused by endpoint");
 		return;
 	}
 	if (!r->streaming) {
@@ -421,7 +423,7 @@
 
 	r->call = NULL;
 	if (why == HTC_NOT_SENT)
-		edge_unreached(r, words[why]);
+		edge_send_unreached(r, words[why]);
 	else
 		broke(r, words[why], why == HTC_BROKEN);
 }
--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -31,20 +31,20 @@
 			int64_t asked_ms)
 {
 	struct err e = ERR_INIT;
-	struct cfg *c = en->wire->config(it->value, it->len, &e);
+	struct cfg *c = en->wire->decode_config(it->value, it->len, &e);
 	/* Nobody named it yet, and it is not our first one: others lack it. */
 	const bool news = c && en->force.cfg && c->version > en->force.wanted;
 	int64_t version;
 
 	if (!c) {
-		edge_unreadable(en, en->wire->config_key, e.text);
+		edge_log_unreadable(en, en->wire->config_key, e.text);
 		return false;
 	}
 	version = c->version;
 	if (force_offer(&en->force, c, asked_ms))
 		log_config(en, en->force.cfg, it->revision);
 	if (news)
-		edge_peer_tell_all(en, edge_now(en));
+		edge_peer_broadcast(en, edge_now(en));
 	return en->force.cfg->version == version;
 }
 
@@ -54,7 +54,7 @@
 {
 	met_inc(en->m.store_failures);
 	vfy_failed(&en->vfy);
-	edge_req_verified(en);
+	edge_req_resume_waiting(en);
 }
 
 static const struct sto_item *find_config(const struct edge *en,
@@ -81,19 +81,19 @@
 	const bool packed = zip_is_packed(a->raw, a->raw_len);
 	BUF_AUTO body = BUF_INIT;
 
-	buf_reset(&en->copy.body);
-	en->copy.version = en->force.cfg->version;
-	en->copy.era = a->era;
+	buf_reset(&en->config_copy.body);
+	en->config_copy.version = en->force.cfg->version;
+	en->config_copy.era = a->era;
 	if (from_watch)
 		buf_add(&body, a->raw, a->raw_len);
 	else
 		buf_fmt(&body, "{\"events\":[%s],\"currentRev\":%lld}", a->raw,
 			(long long)ver_revision(a->revision));
-	if (packed || !zip_pack(body.data, body.len, &en->copy.body))
-		buf_add(&en->copy.body, body.data, body.len);
-	if (en->copy.body.len > FEED_MAX_BYTES)
-		buf_free(&en->copy.body);
-	edge_inner_feed(en, edge_now(en));
+	if (packed || !zip_pack(body.data, body.len, &en->config_copy.body))
+		buf_add(&en->config_copy.body, body.data, body.len);
+	if (en->config_copy.body.len > FEED_MAX_BYTES)
+		buf_free(&en->config_copy.body);
+	edge_serve_followers(en, edge_now(en));
 }
 
 /* `at_ms`: when it was the newest version; 0: that is not known. */
@@ -114,7 +114,7 @@
 
 	if (a->outcome == STO_ABSENT) {
 		vfy_absent(&en->vfy);
-		edge_req_verified(en);
+		edge_req_resume_waiting(en);
 		return;
 	}
 	/*
@@ -127,7 +127,7 @@
 		return;
 	}
 	brought(en, a, it, a->asked_ms, false);
-	edge_req_verified(en);
+	edge_req_resume_waiting(en);
 }
 
 static void confirm(struct edge *en, int64_t at_ms)
@@ -156,7 +156,7 @@
 		brought(en, a, it, vfy_asked_ms(&en->vfy), true);
 	else
 		confirm(en, vfy_unchanged(&en->vfy, a->revision, edge_now(en)));
-	edge_req_verified(en);
+	edge_req_resume_waiting(en);
 }
 
 /* ---- Versions from another entry ---- */
@@ -182,12 +182,12 @@
 void edge_config_tick(struct edge *en, int64_t now)
 {
 	const struct prs_peer *leader =
-		force_behind(&en->force) ? edge_leader(en, now) : NULL;
+		force_behind(&en->force) ? edge_watch_leader(en, now) : NULL;
 	const struct vfy_state s = {
-		.place = en->watch_place,
+		.place = en->watch_rank,
 		.age_ms = force_age(&en->force, now),
 		.behind = force_behind(&en->force),
-		.wanted = !cds_list_empty(&en->verifying),
+		.wanted = !cds_list_empty(&en->awaiting_config),
 		.named = en->force.wanted,
 		.follows = leader != NULL,
 		.spread = en->source,
@@ -197,7 +197,7 @@
 	enum vfy_call call;
 
 	/* Whether the store came back just now stands among our own keys. */
-	if (!en->force.cfg && !en->watches[EDGE_OWN].mirror.whole)
+	if (!en->force.cfg && !en->watches[EDGE_WATCH_SYSTEM].mirror.whole)
 		return;
 	call = vfy_next(&en->vfy, &s, now, &c.wait_ms);
 	if (call == VFY_NONE)
@@ -207,6 +207,6 @@
 		return;
 	}
 	c.kind = call == VFY_READ ? STO_GET : STO_WATCH;
-	met_inc(en->m.refreshes);
+	met_inc(en->m.config_checks);
 	sto_call(en->store, &c, call == VFY_READ ? on_read : on_changes, en);
 }
--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -32,7 +32,7 @@
 
 bool edge_duty_may_act(const struct edge *en)
 {
-	return lead_may_act(&en->lead, en->lease.until_ms, edge_now(en));
+	return lead_may_act(&en->lead, en->lease.expires_ms, edge_now(en));
 }
 
 /* ---- Calls to the platform ---- */
@@ -89,7 +89,7 @@
 
 /* ---- Usage ---- */
 
-void edge_duty_count(struct edge_req *r, int64_t true_ms)
+void edge_duty_count_run(struct edge_req *r, int64_t true_ms)
 {
 	struct edge *en = r->en;
 
@@ -132,7 +132,7 @@
 
 	if (!edge_duty_may_act(en) || d->calling)
 		return;
-	en->wire->usage(&w, d->window, buf_cstr(&d->counts), &wire);
+	en->wire->encode_usage(&w, d->window, buf_cstr(&d->counts), &wire);
 	met_inc(en->m.usage_reports);
 	if (!edge_duty_call(d, &wire))
 		d->not_before_ms = edge_now(en) + EDGE_DUTY_RETRY_MS;
@@ -233,7 +233,7 @@
 	buf_reset(&d->counts);
 	if (!n)
 		return; /* nothing ran: nothing to report */
-	en->wire->usage_counts(totals, n, &d->counts);
+	en->wire->encode_usage_counts(totals, n, &d->counts);
 	write_report(d);
 }
 
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -51,12 +51,12 @@
 	jlog_int(en->log, "endpoints", (int64_t)en->fleet.count);
 	jlog_bool(en->log, "duty", en->lead.mine);
 	jlog_end(en->log);
-	en->era.seen_ms = now;
+	en->era.detected_ms = now;
 	en->era.began_true_ms = truth_now(&en->truth, now);
 	force_doubt(&en->force, now + SETTLE_MS);
 	en->vfy.revision = 0;
 	lead_returned(&en->lead, (int64_t)en->conf->bounds.lease_ms, now);
-	edge_lease_void(en, now + spread_ms(en, now));
+	edge_lease_invalidate(en, now + spread_ms(en, now));
 }
 
 void edge_era_open(struct edge *en)
@@ -68,7 +68,7 @@
 {
 	if (!sto_era(en->store))
 		return true;
-	return en->era.known &&
+	return en->era.record_read &&
 	       truth_now(&en->truth, now) >= en->era.began_true_ms + SETTLE_MS;
 }
 
@@ -85,31 +85,31 @@
 		 (long long)sto_era(en->store),
 		 (long long)en->era.began_true_ms);
 	c.conditions[0] =
-		(struct sto_condition){ EDGE_ERA_KEY, en->era.record };
+		(struct sto_condition){ EDGE_ERA_KEY, en->era.record_version };
 	c.rows[0] = (struct sto_row){ EDGE_ERA_KEY, value, strlen(value), 0 };
 	sto_call(en->store, &c, sto_no_matter, NULL);
 }
 
-void edge_era_recorded(struct edge *en, const char *value, size_t len,
-		       int64_t version)
+void edge_era_record_seen(struct edge *en, const char *value, size_t len,
+			  int64_t version)
 {
 	JSN_AUTO *o = jsn_parse(value, len);
 
 	if (!o) {
-		edge_unreadable(en, EDGE_ERA_KEY, "no record of an era");
+		edge_log_unreadable(en, EDGE_ERA_KEY, "no record of an era");
 		return;
 	}
-	en->era.record = version;
-	en->era.recorded = jsn_int(o, "era", 0);
+	en->era.record_version = version;
+	en->era.recorded_era = jsn_int(o, "era", 0);
 	/* The first to note it was sooner than we. */
-	if (en->era.recorded == sto_era(en->store))
+	if (en->era.recorded_era == sto_era(en->store))
 		en->era.began_true_ms = jsn_int(o, "at_ms", 0);
 }
 
-void edge_era_gone(struct edge *en)
+void edge_era_record_deleted(struct edge *en)
 {
-	en->era.record = 0;
-	en->era.recorded = 0;
+	en->era.record_version = 0;
+	en->era.recorded_era = 0;
 }
 
 /*
@@ -118,8 +118,8 @@
  */
 static void learn_first(struct edge *en, int64_t now)
 {
-	en->era.known = true;
-	if (en->era.recorded == sto_era(en->store) || en->era.began_true_ms)
+	en->era.record_read = true;
+	if (en->era.recorded_era == sto_era(en->store) || en->era.began_true_ms)
 		return;
 	if (!en->conf->first_start)
 		en->era.began_true_ms = truth_now(&en->truth, now);
@@ -127,15 +127,15 @@
 
 void edge_era_tick(struct edge *en, int64_t now)
 {
-	const struct edge_watch *own = &en->watches[EDGE_OWN];
+	const struct edge_watch *own = &en->watches[EDGE_WATCH_SYSTEM];
 
 	if (!own->mirror.whole || !sto_era(en->store))
 		return;
-	if (!en->era.known)
+	if (!en->era.record_read)
 		learn_first(en, now);
-	if (en->era.recorded == sto_era(en->store) || own->returning ||
-	    en->watch_place != 0 || now < en->era.write_ms)
+	if (en->era.recorded_era == sto_era(en->store) || own->resyncing ||
+	    en->watch_rank != 0 || now < en->era.next_write_ms)
 		return;
-	en->era.write_ms = now + RECORD_RETRY_MS;
+	en->era.next_write_ms = now + RECORD_RETRY_MS;
 	write_record(en);
 }
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -53,20 +53,20 @@
 
 	(void)revents;
 	ev_timer_stop(loop, t);
-	en->fatal_told_ms = edge_now(en);
-	edge_peer_tell_all(en, en->fatal_told_ms);
+	en->fatal_gossip_ms = edge_now(en);
+	edge_peer_broadcast(en, en->fatal_gossip_ms);
 }
 
 static void tell_soon(struct edge *en)
 {
-	int64_t wait = en->fatal_told_ms + TELL_GAP_MS - edge_now(en);
+	int64_t wait = en->fatal_gossip_ms + TELL_GAP_MS - edge_now(en);
 
-	if (ev_is_active(&en->fatal_teller))
+	if (ev_is_active(&en->fatal_gossip_timer))
 		return;
 	if (wait < TELL_AFTER_MS)
 		wait = TELL_AFTER_MS;
-	ev_timer_set(&en->fatal_teller, (double)wait / 1000, 0);
-	ev_timer_start(en->loop, &en->fatal_teller);
+	ev_timer_set(&en->fatal_gossip_timer, (double)wait / 1000, 0);
+	ev_timer_start(en->loop, &en->fatal_gossip_timer);
 }
 
 /* ---- News ---- */
@@ -89,9 +89,9 @@
 		 endpoint || news == FATAL_CONVICTED ? JLOG_WARN : JLOG_DEBUG,
 		 words[news], e ? e->info.id : "");
 	if (news == FATAL_SUSPECTED)
-		met_inc(en->m.suspected);
+		met_inc(en->m.requests_suspected);
 	if (news == FATAL_CONVICTED) {
-		met_inc(en->m.convicted);
+		met_inc(en->m.requests_convicted);
 		/* Seen here and not heard: the record is ours to write. */
 		if (endpoint)
 			fatal_find(&en->fatal, row->content)->store_next_ms =
@@ -101,7 +101,7 @@
 	 * Who saw it tells all. If those who hear it did so as well, one end
 	 * would cost as many datagrams as there are pairs of entries.
 	 */
-	if (!en->fatal_hearing)
+	if (!en->fatal_from_others)
 		tell_soon(en);
 }
 
@@ -129,21 +129,23 @@
 	return r ? r->endpoint->hash : 0;
 }
 
-void edge_fatal_say(struct edge *en, struct gsp_record *out, int64_t now)
+void edge_fatal_fill_gossip(struct edge *en, struct gsp_record *out,
+			    int64_t now)
 {
 	out->nr_fatal = fatal_tell(&en->fatal, out->fatal, FATAL_MAX_TOLD,
-				   &en->nr_fatal_fresh, run_at, en, now);
+				   &en->nr_fatal_news, run_at, en, now);
 }
 
-void edge_fatal_hear(struct edge *en, const struct gsp_record *r, int64_t now)
+void edge_fatal_apply_gossip(struct edge *en, const struct gsp_record *r,
+			     int64_t now)
 {
 	if (!r->nr_fatal)
 		return;
-	en->fatal_hearing = true;
+	en->fatal_from_others = true;
 	fatal_heard(&en->fatal, edge_source(r->name, r->boot), r->fatal,
 		    r->nr_fatal, now);
-	en->fatal_hearing = false;
-	edge_fatal_mark(en);
+	en->fatal_from_others = false;
+	edge_fatal_mark_endpoints(en);
 }
 
 /* ---- Endpoints where a suspect runs ---- */
@@ -156,7 +158,7 @@
 		e->suspects++;
 }
 
-void edge_fatal_mark(struct edge *en)
+void edge_fatal_mark_endpoints(struct edge *en)
 {
 	const struct fatal_row *row;
 	struct flt_endpoint *e;
@@ -184,7 +186,7 @@
 	const bool ran = r->rq.runs || r->rq.started;
 	const enum rq_step step = rq_no_endpoint(&r->rq);
 
-	met_inc(r->en->m.withheld);
+	met_inc(r->en->m.requests_withheld);
 	if (ran)
 		edge_step(r, step, why);
 	else
@@ -196,7 +198,7 @@
 	struct edge *en = r->en;
 	bool again;
 
-	r->apart = false;
+	r->isolated = false;
 	/* Of nearly all nothing is known: they cost a look into a table. */
 	if (!fatal_find(&en->fatal, r->content))
 		return true;
@@ -206,7 +208,7 @@
 	case FATAL_FREE:
 		return true;
 	case FATAL_APART:
-		r->apart = true;
+		r->isolated = true;
 		return true;
 	case FATAL_WAIT:
 		r->parked = true;
@@ -240,7 +242,7 @@
 
 /* ---- What became of it ---- */
 
-void edge_fatal_broke(struct edge_req *r)
+void edge_fatal_send_broken(struct edge_req *r)
 {
 	struct edge *en = r->en;
 	struct flt_endpoint *e = r->endpoint;
@@ -277,17 +279,17 @@
 		fatal_unsure(&en->fatal, e->hash);
 		break;
 	}
-	edge_fatal_mark(en);
+	edge_fatal_mark_endpoints(en);
 	release_parked(en);
 }
 
-void edge_fatal_gone(struct edge *en, const struct flt_endpoint *e)
+void edge_fatal_endpoint_gone(struct edge *en, const struct flt_endpoint *e)
 {
 	if (!e->drain_ms)
 		fatal_ended(&en->fatal, e->hash, edge_now(en));
 }
 
-void edge_fatal_whole(struct edge_req *r)
+void edge_fatal_answered(struct edge_req *r)
 {
 	fatal_whole(&r->en->fatal, r->content, edge_now(r->en));
 }
@@ -296,9 +298,9 @@
 {
 	const struct fatal_row *row;
 
-	if (!r->apart)
+	if (!r->isolated)
 		return;
-	edge_fatal_mark(r->en);
+	edge_fatal_mark_endpoints(r->en);
 	/* Others wait for a strong suspect, and keep away from where it is. */
 	row = fatal_find(&r->en->fatal, r->content);
 	if (row && fatal_count(row) >= FATAL_STRONG_ENDS)
@@ -361,10 +363,10 @@
 	if (!fatal_is_convicted(row) || (row->stored_true_ms && !row->lost))
 		return false;
 	if (row->lost)
-		return en->watch_place == 0 && now >= row->store_next_ms;
+		return en->watch_rank == 0 && now >= row->store_next_ms;
 	if (row->store_next_ms)
 		return now >= row->store_next_ms;
-	return en->watch_place == 0 && now - row->changed_ms > RECORD_LATER_MS;
+	return en->watch_rank == 0 && now - row->changed_ms > RECORD_LATER_MS;
 }
 
 static void keep_records(struct edge *en, int64_t now)
@@ -378,7 +380,7 @@
 		if (to_be_written(en, row, now) && recorded < MAX_RECORDS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
 			write_record(en, row, now);
-		} else if (row->stored_true_ms && en->watch_place == 0 &&
+		} else if (row->stored_true_ms && en->watch_rank == 0 &&
 			   now >= row->store_next_ms &&
 			   true_now - row->stored_true_ms > FATAL_KEEP_MS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
@@ -387,23 +389,23 @@
 	}
 }
 
-void edge_fatal_recorded(struct edge *en, const char *key, const char *value,
-			 size_t len)
+void edge_fatal_record_seen(struct edge *en, const char *key, const char *value,
+			    size_t len)
 {
 	JSN_AUTO *o = jsn_parse(value, len);
 	struct hsh_wide content;
 
 	if (!o || !hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content)) {
-		edge_unreadable(en, key, "no record of a request");
+		edge_log_unreadable(en, key, "no record of a request");
 		return;
 	}
-	en->fatal_hearing = true; /* all watch the store */
+	en->fatal_from_others = true; /* all watch the store */
 	fatal_recorded(&en->fatal, content, jsn_int(o, "at_ms", 0),
 		       edge_now(en));
-	en->fatal_hearing = false;
+	en->fatal_from_others = false;
 }
 
-void edge_fatal_unrecorded(struct edge *en, const char *key)
+void edge_fatal_record_lost(struct edge *en, const char *key)
 {
 	struct hsh_wide content;
 
@@ -411,15 +413,15 @@
 		fatal_unrecorded(&en->fatal, content);
 }
 
-void edge_fatal_lifted(struct edge *en, const char *key)
+void edge_fatal_record_deleted(struct edge *en, const char *key)
 {
 	struct hsh_wide content;
 
 	if (!hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
 		return;
-	en->fatal_hearing = true;
+	en->fatal_from_others = true;
 	fatal_lifted(&en->fatal, content, edge_now(en));
-	en->fatal_hearing = false;
+	en->fatal_from_others = false;
 }
 
 /* ---- Life ---- */
@@ -428,8 +430,8 @@
 {
 	fatal_init(&en->fatal, &vtable, en);
 	CDS_INIT_LIST_HEAD(&en->parked);
-	ev_timer_init(&en->fatal_teller, on_tell, 0, 0);
-	en->fatal_teller.data = en;
+	ev_timer_init(&en->fatal_gossip_timer, on_tell, 0, 0);
+	en->fatal_gossip_timer.data = en;
 }
 
 void edge_fatal_tick(struct edge *en, int64_t now)
@@ -437,9 +439,9 @@
 	if (!en->fatal.count)
 		return;
 	keep_records(en, now);
-	if (now - en->fatal_looked_ms < LOOK_AFTER_MS)
+	if (now - en->fatal_expiry_ms < LOOK_AFTER_MS)
 		return;
-	en->fatal_looked_ms = now;
+	en->fatal_expiry_ms = now;
 	fatal_expire(&en->fatal, now);
-	edge_fatal_mark(en);
+	edge_fatal_mark_endpoints(en);
 }
--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -6,7 +6,7 @@
 
 #include "edge/edge_internal.h"
 
-struct svc *edge_model(struct edge *en, const char *service)
+struct svc *edge_service_model(struct edge *en, const char *service)
 {
 	struct svc *s;
 
@@ -38,7 +38,7 @@
 static void note_error(struct edge_req *r, double took_ms)
 {
 	met_observe(r->en->m.prediction_error_ms,
-		    (int64_t)fabs(took_ms - r->expected_ms));
+		    (int64_t)fabs(took_ms - r->predicted_ms));
 }
 
 /* A version on trial may be rolled back, so the model does not learn from it. */
@@ -47,7 +47,7 @@
 	return r->en->conf->policy.learn && r->endpoint->use == FLT_IN_USE;
 }
 
-void edge_learn_first(struct edge_req *r)
+void edge_learn_first_event(struct edge_req *r)
 {
 	const double took = (double)(edge_now(r->en) - r->sent_ms);
 
@@ -57,11 +57,11 @@
 	note_error(r, took);
 	if (!learns(r))
 		return;
-	svc_first_seen(r->model, &r->at, took, r->sure);
+	svc_first_seen(r->model, &r->endpoint_state, took, r->prefill_known);
 	log_moved(r->en, r->model);
 }
 
-void edge_learn_end(struct edge_req *r)
+void edge_learn_completed(struct edge_req *r)
 {
 	const int64_t now = edge_now(r->en);
 	const double took = (double)(now - r->sent_ms);
@@ -74,9 +74,9 @@
 	if (r->streaming && r->sends > 1)
 		return;
 	if (r->streaming && r->events.events > 1)
-		svc_pace_seen(r->model, r->at.running,
-			      (double)(now - r->first_ms) /
+		svc_pace_seen(r->model, r->endpoint_state.running,
+			      (double)(now - r->first_event_ms) /
 				      (double)(r->events.events - 1));
-	svc_run_seen(r->model, &r->at, took);
+	svc_run_seen(r->model, &r->endpoint_state, took);
 	log_moved(r->en, r->model);
 }
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -14,13 +14,14 @@
 #define RENEW_MS 900
 #define LEASE_RETRY_MS 250
 
-void edge_lease_holder(const struct edge *en, char *out, size_t size)
+void edge_lease_format_holder(const struct edge *en, char *out, size_t size)
 {
 	snprintf(out, size, "%s/%016llx", en->conf->name,
 		 (unsigned long long)en->boot);
 }
 
-void edge_lease_entry(const char *holder, size_t len, char *out, size_t size)
+void edge_lease_parse_holder(const char *holder, size_t len, char *out,
+			     size_t size)
 {
 	const char *end = memchr(holder, '/', len);
 	const size_t n = end ? (size_t)(end - holder) : len;
@@ -33,15 +34,15 @@
 static void lease_lost(struct edge *en, int64_t now)
 {
 	en->lease.id = 0;
-	en->lease.until_ms = 0;
+	en->lease.expires_ms = 0;
 	en->lease.registered = false;
 	lead_lost(&en->lead, now);
 }
 
-void edge_lease_void(struct edge *en, int64_t next_ms)
+void edge_lease_invalidate(struct edge *en, int64_t next_ms)
 {
 	lease_lost(en, edge_now(en));
-	en->lease.next_ms = next_ms;
+	en->lease.next_call_ms = next_ms;
 }
 
 static void on_registered(void *arg, struct sto_answer *a)
@@ -49,20 +50,20 @@
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
 
-	en->lease.calling = false;
+	en->lease.call_in_flight = false;
 	if (a->outcome == STO_OK) {
 		en->lease.registered = true;
-		en->lease.next_ms = now + RENEW_MS;
+		en->lease.next_call_ms = now + RENEW_MS;
 		return;
 	}
 	if (a->outcome == STO_ABSENT)
 		lease_lost(en, now);
-	en->lease.next_ms = now + LEASE_RETRY_MS;
+	en->lease.next_call_ms = now + LEASE_RETRY_MS;
 }
 
 static void write_registration(struct edge *en)
 {
-	char key[CONF_NAME + sizeof(EDGE_ENTRY_PREFIX)];
+	char key[CONF_NAME_SIZE + sizeof(EDGE_ENTRY_PREFIX)];
 	BUF_AUTO value = BUF_INIT;
 	struct sto_call c = { .kind = STO_WRITE, .nr_rows = 1 };
 
@@ -72,11 +73,11 @@
 	buf_str(&value, ",\"callers\":");
 	buf_json(&value, en->conf->listen.callers);
 	buf_str(&value, ",\"peers\":");
-	buf_json(&value, en->self_peers);
+	buf_json(&value, en->peer_address);
 	buf_str(&value, "}");
 	c.rows[0] =
 		(struct sto_row){ key, value.data, value.len, en->lease.id };
-	en->lease.calling = true;
+	en->lease.call_in_flight = true;
 	sto_call(en->store, &c, on_registered, en);
 }
 
@@ -85,14 +86,14 @@
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
 
-	en->lease.calling = false;
-	en->lease.next_ms = now + LEASE_RETRY_MS;
+	en->lease.call_in_flight = false;
+	en->lease.next_call_ms = now + LEASE_RETRY_MS;
 	if (a->outcome != STO_OK || !a->lease)
 		return;
 	en->lease.id = a->lease;
-	en->lease.until_ms = a->asked_ms + a->ttl_ms;
+	en->lease.expires_ms = a->asked_ms + a->ttl_ms;
 	en->lease.registered = false;
-	en->lease.next_ms = now;
+	en->lease.next_call_ms = now;
 }
 
 static void on_kept(void *arg, struct sto_answer *a)
@@ -100,18 +101,18 @@
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
 
-	en->lease.calling = false;
-	en->lease.next_ms = now + LEASE_RETRY_MS;
+	en->lease.call_in_flight = false;
+	en->lease.next_call_ms = now + LEASE_RETRY_MS;
 	if (a->outcome == STO_OK) {
-		if (a->asked_ms + LEASE_MS > en->lease.until_ms)
-			en->lease.until_ms = a->asked_ms + LEASE_MS;
-		en->lease.next_ms = now + RENEW_MS;
+		if (a->asked_ms + LEASE_MS > en->lease.expires_ms)
+			en->lease.expires_ms = a->asked_ms + LEASE_MS;
+		en->lease.next_call_ms = now + RENEW_MS;
 	} else if (a->outcome == STO_ABSENT) {
 		jlog_begin(en->log, JLOG_WARN, "lease_lost");
 		jlog_int(en->log, "lease", en->lease.id);
 		jlog_end(en->log);
 		lease_lost(en, now);
-		en->lease.next_ms = now;
+		en->lease.next_call_ms = now;
 	}
 }
 
@@ -119,14 +120,15 @@
 {
 	struct sto_call c = { .ttl_ms = LEASE_MS, .lease = en->lease.id };
 
-	if (en->lease.calling || now < en->lease.next_ms || en->stopping)
+	if (en->lease.call_in_flight || now < en->lease.next_call_ms ||
+	    en->stopping)
 		return;
 	if (en->lease.id && !en->lease.registered) {
 		write_registration(en);
 		return;
 	}
 	c.kind = en->lease.id ? STO_KEEP : STO_LEASE;
-	en->lease.calling = true;
+	en->lease.call_in_flight = true;
 	sto_call(en->store, &c, en->lease.id ? on_kept : on_leased, en);
 }
 
@@ -138,7 +140,7 @@
 	if (!en->lease.id)
 		return;
 	en->lease.id = 0;
-	en->lease.until_ms = 0;
+	en->lease.expires_ms = 0;
 	sto_call(en->store, &c, sto_no_matter, NULL);
 }
 
@@ -166,13 +168,13 @@
 			      .nr_rows = 1 };
 
 	if (!en->conf->cloud.address[0] || !en->lease.registered ||
-	    en->stopping || !en->watches[EDGE_OWN].mirror.whole)
+	    en->stopping || !en->watches[EDGE_WATCH_SYSTEM].mirror.whole)
 		return;
 	if ((en->lead.taken && !en->lead.former) ||
-	    !lead_try(&en->lead, edge_watch_place(en, now), en->lease.until_ms,
+	    !lead_try(&en->lead, edge_watch_rank(en, now), en->lease.expires_ms,
 		      now))
 		return;
-	edge_lease_holder(en, mine, sizeof(mine));
+	edge_lease_format_holder(en, mine, sizeof(mine));
 	c.conditions[0] = (struct sto_condition){ EDGE_DUTY_KEY,
 						  lead_expected(&en->lead) };
 	c.rows[0] = (struct sto_row){ EDGE_DUTY_KEY, mine, strlen(mine),
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -22,7 +22,7 @@
 	struct htc_call *call;
 	int status;
 	struct buf body;
-	struct wire_moved moved;
+	struct wire_move_result moved;
 };
 
 static void log_move(const struct edge_move *m, const char *outcome)
@@ -31,7 +31,7 @@
 	struct edge *en = r->en;
 
 	jlog_begin(en->log, JLOG_INFO, "move");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_str(en->log, "from", r->endpoint->info.id);
 	jlog_str(en->log, "to", m->to->info.id);
 	jlog_str(en->log, "outcome", outcome);
@@ -41,7 +41,7 @@
 	jlog_end(en->log);
 }
 
-void edge_move_stop(struct edge_req *r)
+void edge_move_cancel(struct edge_req *r)
 {
 	struct edge_move *m = r->move;
 
@@ -58,7 +58,7 @@
 
 /* ---- The answer ---- */
 
-void edge_move_on(struct edge_req *r)
+void edge_move_continue(struct edge_req *r)
 {
 	edge_send_moved(r, r->move->to, r->move->moved.handle);
 }
@@ -80,7 +80,7 @@
 	case HAND_STAY:
 	case HAND_WAIT:
 	case HAND_CONTINUE:
-		edge_move_stop(r);
+		edge_move_cancel(r);
 		break;
 	}
 }
@@ -111,8 +111,8 @@
 		refused(m, "refused");
 		return;
 	}
-	if (r->en->wire->moved(buf_cstr(&m->body), m->body.len, &m->moved,
-			       &e)) {
+	if (r->en->wire->decode_move_result(buf_cstr(&m->body), m->body.len,
+					    &m->moved, &e)) {
 		refused(m, e.text);
 		return;
 	}
@@ -120,7 +120,7 @@
 	log_move(m, "copied");
 	if (hand_granted(&r->hand, m->moved.created, r->events.last_id) ==
 	    HAND_CONTINUE)
-		edge_move_on(r);
+		edge_move_continue(r);
 }
 
 static void on_failed(struct htc_call *call, enum htc_failure why)
@@ -141,7 +141,7 @@
 	struct edge *en = r->en;
 	struct pick_query q = {
 		.service = r->service->name,
-		.model = edge_model(en, r->service->name),
+		.model = edge_service_model(en, r->service->name),
 		.zone = en->conf->zone,
 		.engine = true,
 		.now_ms = edge_now(en),
@@ -161,7 +161,7 @@
 	struct edge_move *m;
 
 	/* A run is not stopped that could not be sent once more. */
-	if (!to || !from || !edge_may_repeat(r, true))
+	if (!to || !from || !edge_may_retry(r, true))
 		return;
 	m = calloc(1, sizeof(*m));
 	assert(m);
@@ -172,7 +172,7 @@
 	to->running++;
 	r->move = m;
 	hand_asked(&r->hand);
-	r->en->wire->move(r->a.id, to->info.address, &wire);
+	r->en->wire->encode_move(r->attempt.id, to->info.address, &wire);
 	m->call =
 		htc_start(from, &wire, 0, false, MOVE_CALL_MS, &move_vtable, m);
 	if (m->call)
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -124,7 +124,7 @@
 	struct edge *en = arg;
 
 	if (source == en->source)
-		add_count(&en->said, source, window, account, runs);
+		add_count(&en->gossip_out, source, window, account, runs);
 }
 
 /*
@@ -137,7 +137,7 @@
 	struct edge *en = arg;
 
 	if (source != en->source && !tells_itself(en, source))
-		add_count(&en->said, source, window, account, runs);
+		add_count(&en->gossip_out, source, window, account, runs);
 }
 
 static void fill_record(struct edge *en, struct gsp_record *r, int64_t now)
@@ -153,16 +153,16 @@
 	r->seq = ++en->seq;
 	r->stamp_ms = now;
 	r->true_ms = true_now;
-	r->taking = edge_taking(en);
+	r->taking = edge_is_ready(en);
 	r->store_ok = sto_direct_ok(en->store);
 	r->store_era = sto_era(en->store);
 	r->cfg_version = en->force.cfg ? en->force.cfg->version : 0;
 	r->fresh_age_ms = age == INT64_MAX ? -1 : age;
-	r->requests_per_s = fade_at(&en->arrivals, EDGE_ARRIVALS_MS, now);
+	r->requests_per_s = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
 	say_demands(en, r, now);
 	say_loads(en, r);
 	say_services(en, r, now);
-	edge_fatal_say(en, r, now);
+	edge_fatal_fill_gossip(en, r, now);
 	edge_rollout_say(en, r, now);
 	/* Our own first: nobody else tells them. */
 	usage_each(&en->usage, from, say_own, en);
@@ -180,36 +180,36 @@
 
 static void send_to(struct edge *en, const struct prs_peer *p, int64_t now)
 {
-	const unsigned counts = en->said.nr_counts;
-	const unsigned services = en->said.nr_services;
-	const unsigned fatal = en->said.nr_fatal;
-	const unsigned tallies = en->said.nr_tallies;
+	const unsigned counts = en->gossip_out.nr_counts;
+	const unsigned services = en->gossip_out.nr_services;
+	const unsigned fatal = en->gossip_out.nr_fatal;
+	const unsigned tallies = en->gossip_out.nr_tallies;
 	char bytes[GSP_MAX_BYTES];
 	size_t n;
 
-	prs_echo(p, &en->said, now);
-	en->said.with_counts = p->keeps_counts;
+	prs_echo(p, &en->gossip_out, now);
+	en->gossip_out.with_counts = p->keeps_counts;
 	if (!p->keeps_counts)
-		en->said.nr_counts = en->said.nr_tallies = 0;
+		en->gossip_out.nr_counts = en->gossip_out.nr_tallies = 0;
 	if (!p->keeps_counts && !just_met(p, now))
-		en->said.nr_services = 0;
-	if (!just_met(p, now) && fatal > en->nr_fatal_fresh + REPEATED_FATAL)
-		en->said.nr_fatal = en->nr_fatal_fresh + REPEATED_FATAL;
+		en->gossip_out.nr_services = 0;
+	if (!just_met(p, now) && fatal > en->nr_fatal_news + REPEATED_FATAL)
+		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_FATAL;
 	/* Long names may not fit: then less is told. */
-	while (!(n = gsp_encode(&en->said, bytes, sizeof(bytes))) &&
-	       en->said.nr_counts + en->said.nr_loads) {
-		en->said.nr_counts /= 2;
-		en->said.nr_loads /= 2;
-		en->said.nr_services /= 2;
+	while (!(n = gsp_encode(&en->gossip_out, bytes, sizeof(bytes))) &&
+	       en->gossip_out.nr_counts + en->gossip_out.nr_loads) {
+		en->gossip_out.nr_counts /= 2;
+		en->gossip_out.nr_loads /= 2;
+		en->gossip_out.nr_services /= 2;
 	}
 	/* A lost datagram costs nothing: the next one says more. */
 	if (n)
-		sendto(en->datagrams, bytes, n, MSG_DONTWAIT | MSG_NOSIGNAL,
+		sendto(en->gossip_fd, bytes, n, MSG_DONTWAIT | MSG_NOSIGNAL,
 		       (const struct sockaddr *)&p->addr, sizeof(p->addr));
-	en->said.nr_counts = counts;
-	en->said.nr_services = services;
-	en->said.nr_fatal = fatal;
-	en->said.nr_tallies = tallies;
+	en->gossip_out.nr_counts = counts;
+	en->gossip_out.nr_services = services;
+	en->gossip_out.nr_fatal = fatal;
+	en->gossip_out.nr_tallies = tallies;
 }
 
 static void tell_round(struct edge *en, int64_t now)
@@ -222,8 +222,8 @@
 		return;
 	if (n * ROUND_MS > want * TELL_EACH_MS)
 		want = (n * ROUND_MS + TELL_EACH_MS - 1) / TELL_EACH_MS;
-	fill_record(en, &en->said, now);
-	edge_mark_keepers(en, now);
+	fill_record(en, &en->gossip_out, now);
+	edge_mark_count_keepers(en, now);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if ((i++ + n - en->next_peer % n) % n < want)
 			send_to(en, p, now);
@@ -231,20 +231,20 @@
 	en->next_peer = (en->next_peer + want) % n;
 }
 
-void edge_peer_tell_all(struct edge *en, int64_t now)
+void edge_peer_broadcast(struct edge *en, int64_t now)
 {
 	const struct prs_peer *p;
 
-	fill_record(en, &en->said, now);
-	edge_mark_keepers(en, now);
+	fill_record(en, &en->gossip_out, now);
+	edge_mark_count_keepers(en, now);
 	cds_list_for_each_entry(p, &en->prs.peers, node)
 		send_to(en, p, now);
 }
 
-void edge_peer_tell(struct edge *en, const struct prs_peer *p, int64_t now)
+void edge_peer_send(struct edge *en, const struct prs_peer *p, int64_t now)
 {
-	fill_record(en, &en->said, now);
-	edge_mark_keepers(en, now);
+	fill_record(en, &en->gossip_out, now);
+	edge_mark_count_keepers(en, now);
 	send_to(en, p, now);
 }
 
@@ -260,7 +260,8 @@
 		return;
 	for (i = 0; c && i < c->nr_services; i++) {
 		if (hsh_str(c->services[i].name, 0) == told->service)
-			svc_adopt(edge_model(en, c->services[i].name), told);
+			svc_adopt(edge_service_model(en, c->services[i].name),
+				  told);
 	}
 }
 
@@ -281,7 +282,7 @@
 			    r->counts[i].runs);
 	for (i = 0; i < r->nr_services; i++)
 		learn_told(en, &r->services[i].told);
-	edge_fatal_hear(en, r, now);
+	edge_fatal_apply_gossip(en, r, now);
 	edge_rollout_hear(en, edge_source(p->info.name, p->boot), r, now);
 	at = prs_confirmed_at(r, en->boot);
 	if (at)
@@ -298,15 +299,15 @@
 	(void)loop;
 	(void)revents;
 	for (i = 0; i < READ_BATCH; i++) {
-		n = recv(en->datagrams, bytes, sizeof(bytes), MSG_DONTWAIT);
+		n = recv(en->gossip_fd, bytes, sizeof(bytes), MSG_DONTWAIT);
 		if (n < 0)
 			return;
-		if (gsp_decode(&en->heard, bytes, (size_t)n))
-			hear(en, &en->heard, edge_now(en));
+		if (gsp_decode(&en->gossip_in, bytes, (size_t)n))
+			hear(en, &en->gossip_in, edge_now(en));
 	}
 }
 
-void edge_peer_demands(struct edge *en, int64_t now)
+void edge_peer_sum_demands(struct edge *en, int64_t now)
 {
 	struct acct_table *t = &en->accounts;
 	unsigned alive = 0;
@@ -346,16 +347,16 @@
 {
 	const double left =
 		en->conf->policy.mean_reports
-			? fade_left(TOLD_LOAD_MS, en->smoothed_ms, now)
+			? fade_left(TOLD_LOAD_MS, en->loads_averaged_ms, now)
 			: 0;
 	struct flt_endpoint *e;
 
-	en->smoothed_ms = now;
+	en->loads_averaged_ms = now;
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
 		flt_average_told(e, left);
 }
 
-void edge_peer_loads(struct edge *en, int64_t now)
+void edge_peer_sum_loads(struct edge *en, int64_t now)
 {
 	struct flt_endpoint *e;
 	struct prs_peer *p;
@@ -423,11 +424,11 @@
 {
 	tell_round(en, now);
 	en->sending_peers = count_sending_peers(en, now);
-	en->watch_place = edge_watch_place(en, now);
-	edge_peer_demands(en, now);
-	edge_peer_loads(en, now);
+	en->watch_rank = edge_watch_rank(en, now);
+	edge_peer_sum_demands(en, now);
+	edge_peer_sum_loads(en, now);
 	compare_clocks(en, now);
-	edge_inner_feed(en, now);
+	edge_serve_followers(en, now);
 	prs_forget(&en->prs, now);
 }
 
@@ -437,24 +438,25 @@
 {
 	struct sockaddr_in addr;
 
-	snprintf(en->self_peers, sizeof(en->self_peers), "%s:%d", en->conf->ip,
-		 (int)en->conf->first_port);
-	if (ioc_address(en->self_peers, &addr, e) ||
-	    hsc_server_open(&en->peers, en->loop, &addr, &edge_inner_vtable, en,
-			    e))
+	snprintf(en->peer_address, sizeof(en->peer_address), "%s:%d",
+		 en->conf->ip, (int)en->conf->first_internal_port);
+	if (ioc_address(en->peer_address, &addr, e) ||
+	    hsc_server_open(&en->peers, en->loop, &addr, &edge_peer_http_vtable,
+			    en, e))
 		return -1;
 	/* Datagrams on the same port, also if any free one was asked for. */
-	hsc_server_address(&en->peers, en->self_peers, sizeof(en->self_peers));
-	if (ioc_address(en->self_peers, &addr, e))
+	hsc_server_address(&en->peers, en->peer_address,
+			   sizeof(en->peer_address));
+	if (ioc_address(en->peer_address, &addr, e))
 		return -1;
-	en->datagrams =
+	en->gossip_fd =
 		socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-	if (en->datagrams < 0 ||
-	    bind(en->datagrams, (const struct sockaddr *)&addr, sizeof(addr)))
-		return err_set(e, ERR_IO, "datagrams on %s: %s", en->self_peers,
-			       strerror(errno));
-	ev_io_init(&en->datagram_reader, on_datagrams, en->datagrams, EV_READ);
-	en->datagram_reader.data = en;
-	ev_io_start(en->loop, &en->datagram_reader);
+	if (en->gossip_fd < 0 ||
+	    bind(en->gossip_fd, (const struct sockaddr *)&addr, sizeof(addr)))
+		return err_set(e, ERR_IO, "datagrams on %s: %s",
+			       en->peer_address, strerror(errno));
+	ev_io_init(&en->gossip_watcher, on_datagrams, en->gossip_fd, EV_READ);
+	en->gossip_watcher.data = en;
+	ev_io_start(en->loop, &en->gossip_watcher);
 	return 0;
 }
--- a/lib/edge/edge_inner.c
+++ b/lib/edge/edge_peer_http.c
@@ -82,7 +82,7 @@
 {
 	struct hsc *c = f->conn;
 	const struct edge *en = c->server->owner;
-	const int64_t era = f->watch ? f->watch->era : en->copy.era;
+	const int64_t era = f->watch ? f->watch->era : en->config_copy.era;
 	BUF_AUTO out = BUF_INIT;
 
 	cds_list_del(&f->node);
@@ -100,11 +100,11 @@
 /* An entry that wants a version of the configuration. */
 static void try_version(struct edge *en, struct edge_follower *f, int64_t now)
 {
-	const struct buf *body = &en->copy.body;
+	const struct buf *body = &en->config_copy.body;
 
-	if (en->copy.version < f->after && now < f->until_ms)
+	if (en->config_copy.version < f->after && now < f->until_ms)
 		return;
-	if (en->copy.version >= f->after && body->len)
+	if (en->config_copy.version >= f->after && body->len)
 		answer_follower(f, 200, body->data, body->len);
 	else
 		answer_follower(f, 404, "", 0);
@@ -117,7 +117,7 @@
 	const struct feed_part *part;
 	char nothing[64];
 
-	if (!edge_watch_leads(f->watch, now)) {
+	if (!edge_watch_is_current(f->watch, now)) {
 		answer_follower(f, 503, "", 0);
 		return;
 	}
@@ -144,7 +144,7 @@
 	if (now < f->until_ms)
 		return;
 	/* "Nothing new" is for the store to say, since we watch it again. */
-	if (!f->watch->direct) {
+	if (!f->watch->from_store) {
 		answer_follower(f, 404, "", 0);
 		return;
 	}
@@ -161,7 +161,7 @@
 		try_version(en, f, now);
 }
 
-void edge_inner_feed(struct edge *en, int64_t now)
+void edge_serve_followers(struct edge *en, int64_t now)
 {
 	struct edge_follower *f, *next;
 
@@ -178,7 +178,7 @@
 
 	assert(f);
 	f->conn = c;
-	f->watch = lane < EDGE_NR_FOLLOWED ? &en->watches[lane] : NULL;
+	f->watch = lane < EDGE_NR_SHARED_WATCHES ? &en->watches[lane] : NULL;
 	f->after = after;
 	f->until_ms = now + wait_ms;
 	c->request = f;
@@ -268,7 +268,7 @@
 	};
 }
 
-const struct hsc_vtable edge_inner_vtable = {
+const struct hsc_vtable edge_peer_http_vtable = {
 	.request = on_request,
 	.gone = on_gone,
 	.fault = on_fault,
--- a/lib/edge/edge_probe.c
+++ b/lib/edge/edge_probe.c
@@ -44,7 +44,7 @@
 
 bool edge_probe(struct edge *en, struct flt_endpoint *e)
 {
-	struct htc_peer *link = edge_link(en, e);
+	struct htc_peer *link = edge_conn_pool(en, e);
 	struct probe *p;
 
 	if (e->probing || !link)
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -36,7 +36,7 @@
 	rank_first(&en->ranking, watchers(en));
 }
 
-int edge_watch_place(struct edge *en, int64_t now)
+int edge_watch_rank(struct edge *en, int64_t now)
 {
 	size_t i;
 
@@ -48,11 +48,11 @@
 	return -1;
 }
 
-const struct prs_peer *edge_leader(struct edge *en, int64_t now)
+const struct prs_peer *edge_watch_leader(struct edge *en, int64_t now)
 {
 	size_t n;
 
-	if (edge_watch_place(en, now) >= 0)
+	if (edge_watch_rank(en, now) >= 0)
 		return NULL;
 	n = watchers(en);
 	assert(n);
@@ -61,7 +61,7 @@
 
 /* ---- Counts of usage ---- */
 
-void edge_mark_keepers(struct edge *en, int64_t now)
+void edge_mark_count_keepers(struct edge *en, int64_t now)
 {
 	struct prs_peer *p;
 	size_t i;
@@ -84,7 +84,7 @@
 static double load_of_all(const struct edge *en, int64_t now)
 {
 	const struct prs_peer *p;
-	double sum = fade_at(&en->arrivals, EDGE_ARRIVALS_MS, now);
+	double sum = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (p->last && prs_alive(p, now))
@@ -114,14 +114,15 @@
 	return n;
 }
 
-size_t edge_named(struct edge *en, const char **out, size_t max, int64_t now)
+size_t edge_advertised(struct edge *en, const char **out, size_t max,
+		       int64_t now)
 {
 	struct rank *r = &en->ranking;
 	struct prs_peer *p;
 	size_t named, first, n;
 
 	rank_init(r, RANK_NAME);
-	if (edge_taking(en))
+	if (edge_is_ready(en))
 		rank_add(r, en->conf->name, en->conf->zone, NULL);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (prs_alive(p, now) && p->taking)
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -45,17 +45,17 @@
 {
 	struct edge *en = r->en;
 
-	ev_timer_stop(en->loop, &r->timer);
-	ev_timer_stop(en->loop, &r->again);
+	ev_timer_stop(en->loop, &r->deadline_timer);
+	ev_timer_stop(en->loop, &r->verify_timer);
 	edge_send_stop(r);
 	while (r->nr_tried)
 		flt_unref(&en->fleet, r->tried[--r->nr_tried]);
-	if (r->waiting || r->parked)
+	if (r->awaiting_config || r->parked)
 		cds_list_del(&r->wait_node);
 	cds_list_del(&r->node);
 	cfg_put(r->cfg);
-	buf_free(&r->head);
-	buf_free(&r->body);
+	buf_free(&r->answer_head);
+	buf_free(&r->answer_body);
 	evs_free(&r->events);
 	if (r->conn)
 		r->conn->request = NULL;
@@ -75,11 +75,11 @@
 static void count_answer(struct edge *en, int status)
 {
 	if (status == 503 || status == 429)
-		met_inc(en->m.refused);
+		met_inc(en->m.answers_refused);
 	else if (status >= 500)
-		met_inc(en->m.failed);
+		met_inc(en->m.answers_failed);
 	else
-		met_inc(en->m.denied);
+		met_inc(en->m.requests_denied);
 }
 
 void edge_req_answer(struct edge_req *r, int status, const char *why,
@@ -93,7 +93,7 @@
 	refund(r);
 	count_answer(en, status);
 	jlog_begin(en->log, JLOG_INFO, "answer");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_int(en->log, "status", status);
 	jlog_str(en->log, "why", why);
 	jlog_int(en->log, "runs", r->rq.runs);
@@ -110,8 +110,9 @@
 			 force_age(&en->force, edge_now(en)));
 	}
 	jlog_end(en->log);
-	en->wire->own_answer(status, r->a.id[0] ? r->a.id : NULL, why, retry_ms,
-			     last, &out);
+	en->wire->encode_own_answer(status,
+				    r->attempt.id[0] ? r->attempt.id : NULL,
+				    why, retry_ms, last, &out);
 	hsc_write(c, out.data, out.len);
 	edge_req_free(r);
 	hsc_done(c, last);
@@ -127,20 +128,20 @@
 {
 	struct edge *en = r->en;
 
-	if (r->verified || (en->force.cfg && !sto_reachable(en->store))) {
+	if (r->config_checked || (en->force.cfg && !sto_reachable(en->store))) {
 		edge_req_answer(r, 503, otherwise, COME_BACK_LATER_MS);
 		return;
 	}
 	jlog_begin(en->log, JLOG_INFO, "confirming");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_str(en->log, "else", otherwise);
 	jlog_int(en->log, "config_age_ms", force_age(&en->force, edge_now(en)));
 	jlog_end(en->log);
-	r->waiting = true;
-	cds_list_add_tail(&r->wait_node, &en->verifying);
-	ev_timer_stop(en->loop, &r->again);
-	ev_timer_set(&r->again, (double)VERIFY_WAIT_MS / 1000, 0);
-	ev_timer_start(en->loop, &r->again);
+	r->awaiting_config = true;
+	cds_list_add_tail(&r->wait_node, &en->awaiting_config);
+	ev_timer_stop(en->loop, &r->verify_timer);
+	ev_timer_set(&r->verify_timer, (double)VERIFY_WAIT_MS / 1000, 0);
+	ev_timer_start(en->loop, &r->verify_timer);
 	edge_config_tick(en, edge_now(en));
 }
 
@@ -181,7 +182,8 @@
 {
 	if (!r->cfg->nr_accounts || r->route->anonymous)
 		return true;
-	r->account = r->a.key[0] ? cfg_account(r->cfg, r->a.key) : NULL;
+	r->account = r->attempt.key[0] ? cfg_account(r->cfg, r->attempt.key)
+				       : NULL;
 	return r->account != NULL;
 }
 
@@ -196,7 +198,7 @@
 	BUF_AUTO head = BUF_INIT;
 
 	buf_fmt(&head, "%s\n%s\n%s", r->account ? r->account->name : "",
-		r->a.host, hmsg_url(m));
+		r->attempt.host, hmsg_url(m));
 	r->content = hsh_wide_join(hsh_wide(head.data, head.len),
 				   hsh_wide(buf_cstr(body), body->len));
 }
@@ -205,9 +207,9 @@
 {
 	if (!r->account->by_tokens)
 		return 1;
-	if (!r->a.counted)
+	if (!r->attempt.counted)
 		return r->account->default_tokens;
-	return r->a.prompt_tokens + r->a.output_tokens;
+	return r->attempt.prompt_tokens + r->attempt.output_tokens;
 }
 
 /* What decided that a request is over its account's limit here. */
@@ -217,7 +219,7 @@
 	struct edge *en = r->en;
 
 	jlog_begin(en->log, JLOG_INFO, "over_limit");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_str(en->log, "account", a->name);
 	jlog_num(en->log, "amount", amount);
 	jlog_num(en->log, "level", a->level);
@@ -250,7 +252,7 @@
 	return true;
 }
 
-static struct edge_budget *budget_of(struct edge *en, const char *service)
+static struct edge_retry_budget *budget_of(struct edge *en, const char *service)
 {
 	unsigned i;
 
@@ -258,7 +260,7 @@
 		if (!strcmp(en->budgets[i].service, service))
 			return &en->budgets[i];
 	}
-	if (en->nr_budgets == EDGE_SERVICES)
+	if (en->nr_budgets == EDGE_MAX_RETRY_BUDGETS)
 		return &en->budgets[0];
 	str_copy(en->budgets[i].service, service, FLT_NAME);
 	en->nr_budgets++;
@@ -276,10 +278,10 @@
 
 static struct again *budget_for(struct edge_req *r)
 {
-	return &budget_of(r->en, r->service->name)->again;
+	return &budget_of(r->en, r->service->name)->budget;
 }
 
-bool edge_may_repeat(struct edge_req *r, bool spend)
+bool edge_may_retry(struct edge_req *r, bool spend)
 {
 	struct edge *en = r->en;
 	const struct again_limits l = again_limits(en);
@@ -291,11 +293,11 @@
 	return again_spend(budget_for(r), &l, n, now);
 }
 
-void edge_unpay(struct edge_req *r)
+void edge_retry_refund(struct edge_req *r)
 {
-	if (r->paid)
+	if (r->retry_charged)
 		again_return(budget_for(r));
-	r->paid = false;
+	r->retry_charged = false;
 }
 
 /* Of a route's services one, by weight; the same for the same attempt. */
@@ -307,7 +309,8 @@
 
 	for (i = 0; i < route->nr_shares; i++)
 		sum += route->shares[i].weight;
-	at = (double)(hsh_str(r->a.id, 7) >> 11) / (double)(1ull << 53) * sum;
+	at = (double)(hsh_str(r->attempt.id, 7) >> 11) / (double)(1ull << 53) *
+	     sum;
 	for (i = 0; i + 1 < route->nr_shares; i++) {
 		at -= route->shares[i].weight;
 		if (at < 0)
@@ -322,13 +325,13 @@
 					      : DEFAULT_TIME_MS;
 	const int64_t now = edge_now(r->en);
 
-	if (r->a.deadline_ms >= 0 && r->a.deadline_ms < ms)
-		ms = r->a.deadline_ms;
-	r->until_ms = r->arrived_ms + ms;
-	ms = r->until_ms - now + TIME_UP_GRACE_MS;
-	ev_timer_stop(r->en->loop, &r->timer);
-	ev_timer_set(&r->timer, ms > 0 ? (double)ms / 1000 : 0.001, 0);
-	ev_timer_start(r->en->loop, &r->timer);
+	if (r->attempt.deadline_ms >= 0 && r->attempt.deadline_ms < ms)
+		ms = r->attempt.deadline_ms;
+	r->deadline_at_ms = r->arrived_ms + ms;
+	ms = r->deadline_at_ms - now + TIME_UP_GRACE_MS;
+	ev_timer_stop(r->en->loop, &r->deadline_timer);
+	ev_timer_set(&r->deadline_timer, ms > 0 ? (double)ms / 1000 : 0.001, 0);
+	ev_timer_start(r->en->loop, &r->deadline_timer);
 }
 
 /* Under the configuration in force now. */
@@ -351,7 +354,8 @@
 		return;
 	}
 	take_config(r);
-	r->route = cfg_route(r->cfg, r->a.host, hmsg_url(&r->conn->parse.msg));
+	r->route = cfg_route(r->cfg, r->attempt.host,
+			     hmsg_url(&r->conn->parse.msg));
 	if (!r->route) {
 		deny(r, 404, "no route");
 		return;
@@ -381,19 +385,19 @@
 	edge_send(r);
 }
 
-void edge_req_verified(struct edge *en)
+void edge_req_resume_waiting(struct edge *en)
 {
 	struct edge_req *r, *next;
 	struct cds_list_head all;
 
 	CDS_INIT_LIST_HEAD(&all);
-	cds_list_splice(&en->verifying, &all);
-	CDS_INIT_LIST_HEAD(&en->verifying);
+	cds_list_splice(&en->awaiting_config, &all);
+	CDS_INIT_LIST_HEAD(&en->awaiting_config);
 	cds_list_for_each_entry_safe(r, next, &all, wait_node) {
 		cds_list_del(&r->wait_node);
-		r->waiting = false;
-		r->verified = true;
-		ev_timer_stop(en->loop, &r->again);
+		r->awaiting_config = false;
+		r->config_checked = true;
+		ev_timer_stop(en->loop, &r->verify_timer);
 		admit(r);
 	}
 }
@@ -405,8 +409,8 @@
 	(void)revents;
 	ev_timer_stop(loop, t);
 	cds_list_del(&r->wait_node);
-	r->waiting = false;
-	r->verified = true;
+	r->awaiting_config = false;
+	r->config_checked = true;
 	admit(r);
 }
 
@@ -434,15 +438,15 @@
 	r->conn = c;
 	c->request = r;
 	r->arrived_ms = edge_now(en);
-	ev_timer_init(&r->timer, on_time_up, 0, 0);
-	ev_timer_init(&r->again, on_again, 0, 0);
-	r->timer.data = r;
-	r->again.data = r;
+	ev_timer_init(&r->deadline_timer, on_time_up, 0, 0);
+	ev_timer_init(&r->verify_timer, on_again, 0, 0);
+	r->deadline_timer.data = r;
+	r->verify_timer.data = r;
 	cds_list_add_tail(&r->node, &en->requests);
 	met_inc(en->m.requests);
-	fade_add(&en->arrivals, 1000.0 / EDGE_ARRIVALS_MS, EDGE_ARRIVALS_MS,
-		 r->arrived_ms);
-	if (en->wire->attempt(&c->parse.msg, &r->a, &e)) {
+	fade_add(&en->arrivals, 1000.0 / EDGE_ARRIVAL_RATE_MS,
+		 EDGE_ARRIVAL_RATE_MS, r->arrived_ms);
+	if (en->wire->decode_request(&c->parse.msg, &r->attempt, &e)) {
 		edge_req_answer(r, 400, e.text, -1);
 		return;
 	}
@@ -461,9 +465,9 @@
 
 	if (!r)
 		return;
-	met_inc(en->m.gone);
+	met_inc(en->m.callers_gone);
 	jlog_begin(en->log, JLOG_INFO, "caller_gone");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	jlog_int(en->log, "runs", r->rq.runs + r->rq.sending);
 	jlog_int(en->log, "events", (int64_t)r->events.events);
 	jlog_int(en->log, "held_ms", edge_now(en) - r->arrived_ms);
@@ -485,13 +489,13 @@
 	};
 	struct edge *en = c->server->owner;
 
-	met_inc(en->m.denied);
+	met_inc(en->m.requests_denied);
 	jlog_begin(en->log, JLOG_INFO, "request_refused");
 	jlog_int(en->log, "status", answers[f].status);
 	jlog_str(en->log, "why", answers[f].why);
 	jlog_end(en->log);
-	en->wire->own_answer(answers[f].status, NULL, answers[f].why, -1, true,
-			     out);
+	en->wire->encode_own_answer(answers[f].status, NULL, answers[f].why, -1,
+				    true, out);
 }
 
 /* Until a configuration is known: the usual figures. */
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -90,8 +90,9 @@
 {
 	if (!e->info.version[0])
 		return;
-	if (ro->established[0] && (en->watches[EDGE_ENDPOINTS].mirror.whole ||
-				   e->info.born_ms >= ro->established_born_ms))
+	if (ro->established[0] &&
+	    (en->watches[EDGE_WATCH_ENDPOINTS].mirror.whole ||
+	     e->info.born_ms >= ro->established_born_ms))
 		return;
 	str_copy(ro->established, e->info.version, sizeof(ro->established));
 	ro->established_born_ms = e->info.born_ms;
@@ -233,7 +234,7 @@
 	struct rol_record r;
 
 	if (!rol_decode(value, len, &r) || strcmp(r.service, ro->service)) {
-		edge_unreadable(en, key, "not a roll-out record");
+		edge_log_unreadable(en, key, "not a roll-out record");
 		return;
 	}
 	/* Ignores versions older than our own last write. */
@@ -260,13 +261,13 @@
 /* Retries and requests with the same prompt prefix have the same key. */
 static uint64_t affinity_key(const struct edge_req *r)
 {
-	return r->a.shared_part ? r->a.shared_part : r->content.lo;
+	return r->attempt.shared_part ? r->attempt.shared_part : r->content.lo;
 }
 
 /* True if the watch of the records is up to date. */
 static bool records_fresh(const struct edge *en)
 {
-	const int64_t at = en->watches[EDGE_OWN].complete_ms;
+	const int64_t at = en->watches[EDGE_WATCH_SYSTEM].complete_ms;
 
 	return at && edge_now(en) - at <= MAX_RECORD_AGE_MS;
 }
@@ -290,17 +291,17 @@
 {
 	struct edge_rollout *ro = find(r->en, r->service->name);
 
-	r->counted_as.order = 0;
-	r->counted_as.answered = false;
+	r->tally.order = 0;
+	r->tally.answered = false;
 	if (!ro || !ro->recorded || !rol_in_progress(&ro->record))
 		return;
-	r->counted_as.order = ro->own.order;
-	r->counted_as.route = (uint32_t)hsh_str(r->route->name, 0);
-	r->counted_as.group =
-		strcmp(r->endpoint->info.version, ro->record.target) == 0
-			? tal_group(r->endpoint->hash)
-			: TAL_BASELINE;
-	tal_sent(&ro->own, r->counted_as.route, r->counted_as.group);
+	r->tally.order = ro->own.order;
+	r->tally.route = (uint32_t)hsh_str(r->route->name, 0);
+	r->tally.group = strcmp(r->endpoint->info.version, ro->record.target) ==
+					 0
+				 ? tal_group(r->endpoint->hash)
+				 : TAL_BASELINE;
+	tal_sent(&ro->own, r->tally.route, r->tally.group);
 }
 
 /* Reports bad answers at once, so that the holder can roll back. */
@@ -309,23 +310,23 @@
 	const int64_t now = edge_now(en);
 	const struct prs_peer *p = prs_find(&en->prs, en->duty_holder);
 
-	if (!p || now - en->rollout_told_ms < MIN_TELL_INTERVAL_MS)
+	if (!p || now - en->rollout_reported_ms < MIN_TELL_INTERVAL_MS)
 		return;
-	en->rollout_told_ms = now;
-	edge_peer_tell(en, p, now);
+	en->rollout_reported_ms = now;
+	edge_peer_send(en, p, now);
 }
 
 static void count_outcome(struct edge_req *r, enum tal_outcome o)
 {
 	struct edge_rollout *ro;
 
-	if (!r->counted_as.order)
+	if (!r->tally.order)
 		return;
 	ro = find(r->en, r->service->name);
-	if (!ro || ro->own.order != r->counted_as.order)
+	if (!ro || ro->own.order != r->tally.order)
 		return;
-	tal_answered(&ro->own, r->counted_as.route, r->counted_as.group, o);
-	if (o != TAL_GOOD && r->counted_as.group != TAL_BASELINE)
+	tal_answered(&ro->own, r->tally.route, r->tally.group, o);
+	if (o != TAL_GOOD && r->tally.group != TAL_BASELINE)
 		tell_holder(r->en);
 }
 
@@ -334,10 +335,10 @@
 	const double took = (double)(edge_now(r->en) - r->sent_ms);
 
 	/* Resumed streams process no prompt, so their times are not comparable. */
-	if (r->counted_as.answered || r->rq.at_copy || r->rq.started)
+	if (r->tally.answered || r->rq.at_copy || r->rq.started)
 		return;
-	r->counted_as.answered = true;
-	count_outcome(r, took > r->expected_ms * LATE_FACTOR + LATE_MARGIN_MS
+	r->tally.answered = true;
+	count_outcome(r, took > r->predicted_ms * LATE_FACTOR + LATE_MARGIN_MS
 				 ? TAL_LATE
 				 : TAL_GOOD);
 }
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -91,7 +91,7 @@
 	buf_str(&key, EDGE_ROLLOUT_PREFIX);
 	buf_str(&key, ro->service);
 	rol_encode(&ro->next, &value);
-	en->wire->rollout_status(&ro->next, &status_key, &status);
+	en->wire->encode_rollout_status(&ro->next, &status_key, &status);
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
 	c.conditions[1] =
@@ -127,7 +127,7 @@
 	jlog_str(en->log, "target", ro->order.target);
 	jlog_str(en->log, "why", ro->order_fault);
 	jlog_end(en->log);
-	en->wire->rollout_status(&r, &key, &value);
+	en->wire->encode_rollout_status(&r, &key, &value);
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
 	c.rows[0] =
@@ -141,9 +141,9 @@
 /* True if the watch of orders is complete. */
 static bool orders_known(const struct edge *en)
 {
-	const struct edge_watch *w = &en->watches[EDGE_ROLLOUTS];
+	const struct edge_watch *w = &en->watches[EDGE_WATCH_ROLLOUTS];
 
-	return w->mirror.whole && !w->returning &&
+	return w->mirror.whole && !w->resyncing &&
 	       w->complete_ms >= en->lead.since_ms;
 }
 
@@ -199,7 +199,7 @@
 		edge_scale_forget_service(en->duty, ro->service);
 	write_record(en, ro, now);
 	if (next.stage == ROL_ROLLED_BACK)
-		edge_peer_tell_all(en, now);
+		edge_peer_broadcast(en, now);
 }
 
 /* Accepts a version listed without an order, if no roll-out is in progress. */
@@ -317,8 +317,8 @@
 	struct err e = ERR_INIT;
 
 	ro->ordered = true;
-	ro->order_sound = en->wire->rollout(key, value, len, &ro->order, &e) ==
-			  0;
+	ro->order_sound =
+		en->wire->decode_rollout(key, value, len, &ro->order, &e) == 0;
 	ro->order.version = version;
 	str_copy(ro->order_fault, e.text, sizeof(ro->order_fault));
 	jlog_begin(en->log, JLOG_INFO, "rollout_ordered");
@@ -333,7 +333,7 @@
 void edge_rollout_withdrawn(struct edge *en, const char *key)
 {
 	/* After a restore of the store, operators write lost orders again. */
-	if (en->watches[EDGE_ROLLOUTS].returning)
+	if (en->watches[EDGE_WATCH_ROLLOUTS].resyncing)
 		return;
 	edge_rollout_of(en, key + strlen(en->wire->rollout_prefix))->ordered =
 		false;
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -116,10 +116,11 @@
 	if (!edge_duty_may_act(en) || d->calling)
 		return;
 	/* Orders include the endpoints of all versions. */
-	en->wire->scale(&w, o->service, o->zone, o->reclaimable,
-			number + (o->reclaimable ? z->spot_other_version
+	en->wire->encode_scale(&w, o->service, o->zone, o->reclaimable,
+			       number + (o->reclaimable
+						 ? z->spot_other_version
 						 : z->firm_other_version),
-			&wire);
+			       &wire);
 	d->order = o;
 	d->order_number = number;
 	met_inc(en->m.scale_orders);
@@ -246,7 +247,7 @@
 static double load_of(struct edge *en, const struct cfg_service *s,
 		      const struct edge_at_work *w)
 {
-	const struct svc *m = edge_model(en, s->name);
+	const struct svc *m = edge_service_model(en, s->name);
 	const double fit = svc_runs_fit(m, w->slots, s->gap_ms);
 
 	const struct svc_load load = {
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -25,7 +25,7 @@
 
 /* ---- Endpoints' connections ---- */
 
-void edge_unlink(struct flt_endpoint *e)
+void edge_conn_pool_free(struct flt_endpoint *e)
 {
 	struct htc_peer *p = e->link;
 
@@ -36,7 +36,7 @@
 	e->link = NULL;
 }
 
-struct htc_peer *edge_link(struct edge *en, struct flt_endpoint *e)
+struct htc_peer *edge_conn_pool(struct edge *en, struct flt_endpoint *e)
 {
 	static const struct htc_limits limits = {
 		.connect_ms = CONNECT_MS,
@@ -77,21 +77,22 @@
 	struct edge *en = r->en;
 	struct pick_query q = {
 		.service = r->service->name,
-		.model = edge_model(en, r->service->name),
+		.model = edge_service_model(en, r->service->name),
 		.zone = en->conf->zone,
 		.engine = r->service->has_engine,
 		.prefix = en->conf->policy.affinity && r->route->cached
-				  ? r->a.shared_part
+				  ? r->attempt.shared_part
 				  : 0,
 		.ignore_failures = !en->conf->policy.avoid_failing,
-		.apart = r->apart,
+		.apart = r->isolated,
 		.sending_peers = en->sending_peers,
 		.sample_seed = en->conf->policy.sample
-				       ? hsh_str(r->a.id, r->sends) | 1
+				       ? hsh_str(r->attempt.id, r->sends) | 1
 				       : 0,
 		.use = use,
-		.shared_tokens = r->a.shared_tokens,
-		.own_tokens = r->a.prompt_tokens - r->a.shared_tokens,
+		.shared_tokens = r->attempt.shared_tokens,
+		.own_tokens =
+			r->attempt.prompt_tokens - r->attempt.shared_tokens,
 		.now_ms = edge_now(en),
 		.nr_excluded = r->nr_tried,
 		.parts = &en->parts,
@@ -108,7 +109,7 @@
 	const int64_t now = edge_now(en);
 
 	jlog_begin(en->log, JLOG_INFO, "send");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	edge_log_content(en, r->content);
 	jlog_str(en->log, "route", r->route->name);
 	jlog_str(en->log, "account", r->account ? r->account->name : "");
@@ -124,7 +125,7 @@
 	jlog_int(en->log, "peer_running", (int64_t)p->endpoint->peer_running);
 	jlog_str(en->log, "version", p->endpoint->info.version);
 	jlog_int(en->log, "send", r->sends);
-	jlog_bool(en->log, "apart", r->apart);
+	jlog_bool(en->log, "apart", r->isolated);
 	jlog_int(en->log, "resume_after", f->resume_after);
 	jlog_int(en->log, "left_ms", f->deadline_ms);
 	jlog_end(en->log);
@@ -138,18 +139,18 @@
 	flt_ref(r->endpoint);
 	r->endpoint->running++;
 	edge_rollout_sent(r);
-	r->model = edge_model(en, r->service->name);
-	r->at = p->at;
-	r->expected_ms = p->wait_ms;
-	r->sure = p->sure;
-	r->prefill_tokens =
-		r->a.prompt_tokens - (p->cached ? r->a.shared_tokens : 0);
+	r->model = edge_service_model(en, r->service->name);
+	r->endpoint_state = p->at;
+	r->predicted_ms = p->wait_ms;
+	r->prefill_known = p->sure;
+	r->prefill_tokens = r->attempt.prompt_tokens -
+			    (p->cached ? r->attempt.shared_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
-		svc_sent(r->model, r->at.read_tokens, edge_now(en));
-	if (r->route->cached && r->a.shared_part)
-		parts_used(&en->parts, r->a.shared_part, r->endpoint->hash,
-			   edge_now(en));
+		svc_sent(r->model, r->endpoint_state.read_tokens, edge_now(en));
+	if (r->route->cached && r->attempt.shared_part)
+		parts_used(&en->parts, r->attempt.shared_part,
+			   r->endpoint->hash, edge_now(en));
 }
 
 static void start(struct edge_req *r, const struct pick_result *p,
@@ -161,22 +162,22 @@
 	const struct forward f = {
 		.endpoint_id = p->endpoint->info.id,
 		.account = r->account ? r->account->name : NULL,
-		.deadline_ms = r->until_ms - now,
+		.deadline_ms = r->deadline_at_ms - now,
 		.urgency = urgency_of(r),
 		.resume_after = r->rq.started ? r->events.last_id : -1,
 		.copy_at = copy_at,
 	};
-	struct htc_peer *link = edge_link(en, p->endpoint);
+	struct htc_peer *link = edge_conn_pool(en, p->endpoint);
 	struct buf wire = BUF_INIT;
 
 	occupy(r, p);
 	if (copy_at)
-		edge_first_event_seen(r); /* nothing is left to be read */
+		edge_prefill_done(r); /* nothing is left to be read */
 	r->sends++;
-	r->reached++;
+	r->sends_reached++;
 	met_inc(en->m.sends);
 	if (p->endpoint->use == FLT_ON_TRIAL)
-		met_inc(en->m.sent_on_trial);
+		met_inc(en->m.sends_on_trial);
 	if (r->sends > 1)
 		met_inc(r->rq.started ? en->m.resumes : en->m.resends);
 	r->sent_ms = now;
@@ -184,7 +185,8 @@
 	memset(&r->reply, 0, sizeof(r->reply));
 	evs_restart(&r->events);
 	log_send(r, p, &f);
-	en->wire->forward(&c->parse.msg, &c->body, &r->a, &f, &wire);
+	en->wire->encode_request(&c->parse.msg, &c->body, &r->attempt, &f,
+				 &wire);
 	rq_sent(&r->rq);
 	edge_fatal_sent(r);
 	if (link)
@@ -195,7 +197,7 @@
 	if (r->call)
 		return;
 	buf_free(&wire);
-	edge_unreached(r, "no connection to be had");
+	edge_send_unreached(r, "no connection to be had");
 }
 
 void edge_send(struct edge_req *r)
@@ -226,8 +228,8 @@
 	 * connections that were refused, it turned callers away after one
 	 * endpoint that had ended, while the others were well.
 	 */
-	r->paid = r->reached > 0;
-	if (r->paid && !edge_may_repeat(r, true)) {
+	r->retry_charged = r->sends_reached > 0;
+	if (r->retry_charged && !edge_may_retry(r, true)) {
 		edge_step(r, rq_no_endpoint(&r->rq), "no repeats left");
 		return;
 	}
@@ -246,11 +248,11 @@
 	}
 	snprintf(copy_at, sizeof(copy_at), "%s/%s", r->endpoint->info.address,
 		 handle);
-	edge_log_outcome(r, "moved", r->reply.status);
+	edge_log_send_ended(r, "moved", r->reply.status);
 	rq_moved(&r->rq);
 	flt_ref(to); /* the hand-over's own goes with it */
 	edge_send_stop(r);
-	r->paid = false; /* the hand-over was, by itself */
+	r->retry_charged = false; /* the hand-over was, by itself */
 	start(r, &p, copy_at);
 	flt_unref(&r->en->fleet, to);
 }
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -18,7 +18,7 @@
 
 /* ---- Keys ---- */
 
-void edge_unreadable(struct edge *en, const char *key, const char *why)
+void edge_log_unreadable(struct edge *en, const char *key, const char *why)
 {
 	jlog_begin(en->log, JLOG_ERROR, "store_value_unreadable");
 	jlog_str(en->log, "key", key);
@@ -50,7 +50,7 @@
  */
 static bool left_since(struct edge *en, const struct flt_info *info)
 {
-	if (!en->watches[EDGE_ENDPOINTS].returning ||
+	if (!en->watches[EDGE_WATCH_ENDPOINTS].resyncing ||
 	    !flt_has_left(&en->fleet, info, edge_now(en)))
 		return false;
 	jlog_begin(en->log, JLOG_INFO, "endpoint");
@@ -70,12 +70,12 @@
 	struct flt_endpoint *ep;
 	enum flt_news news;
 
-	if (en->wire->endpoint(key, value, len, &info, &e)) {
+	if (en->wire->decode_endpoint(key, value, len, &info, &e)) {
 		/* Whoever wrote it: the key names no endpoint now. */
 		flt_unnamed(&en->fleet, key + strlen(en->wire->endpoint_prefix),
 			    edge_now(en));
 		met_inc(en->m.entries_unreadable);
-		edge_unreadable(en, key, e.text);
+		edge_log_unreadable(en, key, e.text);
 		return;
 	}
 	if (left_since(en, &info))
@@ -100,10 +100,10 @@
 	str_copy(info.callers, jsn_str(o, "callers", ""), sizeof(info.callers));
 	str_copy(info.peers, jsn_str(o, "peers", ""), sizeof(info.peers));
 	if (!prs_registered(&en->prs, &info, edge_now(en))) {
-		edge_unreadable(en, key, "no address of the entry");
+		edge_log_unreadable(en, key, "no address of the entry");
 		return;
 	}
-	edge_peer_demands(en, edge_now(en));
+	edge_peer_sum_demands(en, edge_now(en));
 	jlog_begin(en->log, JLOG_INFO, "entry_registered");
 	jlog_str(en->log, "entry", info.name);
 	jlog_end(en->log);
@@ -114,7 +114,7 @@
 {
 	char mine[128];
 
-	edge_lease_holder(en, mine, sizeof(mine));
+	edge_lease_format_holder(en, mine, sizeof(mine));
 	if (strlen(mine) == len && !memcmp(mine, value, len))
 		return LEAD_MINE;
 	if (!strcmp(en->duty_holder, en->conf->name))
@@ -127,7 +127,8 @@
 {
 	const bool was = en->lead.mine;
 
-	edge_lease_entry(value, len, en->duty_holder, sizeof(en->duty_holder));
+	edge_lease_parse_holder(value, len, en->duty_holder,
+				sizeof(en->duty_holder));
 	lead_seen(&en->lead, whose_duty(en, value, len), revision,
 		  edge_now(en));
 	if (was == en->lead.mine)
@@ -155,16 +156,16 @@
 	else if (!strcmp(key, EDGE_DUTY_KEY))
 		take_duty(en, value, len, revision);
 	else if (!strcmp(key, EDGE_ERA_KEY))
-		edge_era_recorded(en, value, len, revision);
+		edge_era_record_seen(en, value, len, revision);
 	else if (begins(key, EDGE_FATAL_PREFIX))
-		edge_fatal_recorded(en, key, value, len);
+		edge_fatal_record_seen(en, key, value, len);
 	else if (begins(key, EDGE_ROLLOUT_PREFIX))
 		edge_rollout_recorded(en, key, value, len, revision);
 	else if (begins(key, en->wire->rollout_prefix))
 		edge_rollout_ordered(en, key, value, len, revision);
 	else if (!strcmp(key, EDGE_PLAN_KEY) &&
 		 !carry_decode(value, len, &en->plan))
-		edge_unreadable(en, key, "no plan");
+		edge_log_unreadable(en, key, "no plan");
 }
 
 /* When endpoints' entries that the store lost began to be written again. */
@@ -172,7 +173,7 @@
 {
 	const int64_t back = sto_back_ms(en->store);
 
-	return back > en->era.seen_ms ? back : en->era.seen_ms;
+	return back > en->era.detected_ms ? back : en->era.detected_ms;
 }
 
 static void on_gone(void *arg, const char *key, int64_t revision)
@@ -192,13 +193,13 @@
 		prs_unregistered(&en->prs, key + strlen(EDGE_ENTRY_PREFIX),
 				 now);
 	} else if (!strcmp(key, EDGE_ERA_KEY)) {
-		edge_era_gone(en);
+		edge_era_record_deleted(en);
 	} else if (begins(key, EDGE_FATAL_PREFIX)) {
 		/* What the store lost, nobody lifted. */
-		if (en->watches[EDGE_OWN].returning)
-			edge_fatal_unrecorded(en, key);
+		if (en->watches[EDGE_WATCH_SYSTEM].resyncing)
+			edge_fatal_record_lost(en, key);
 		else
-			edge_fatal_lifted(en, key);
+			edge_fatal_record_deleted(en, key);
 	} else if (begins(key, EDGE_ROLLOUT_PREFIX)) {
 		edge_rollout_unrecorded(en, key);
 	} else if (begins(key, en->wire->rollout_prefix)) {
@@ -209,7 +210,7 @@
 	}
 }
 
-const struct mir_vtable edge_keys_vtable = { on_put, on_gone };
+const struct mir_vtable edge_mirror_vtable = { on_put, on_gone };
 
 /* ---- Life ---- */
 
@@ -267,7 +268,7 @@
 
 int64_t edge_list_age(const struct edge *en, int64_t now)
 {
-	const int64_t at = en->watches[EDGE_ENDPOINTS].complete_ms;
+	const int64_t at = en->watches[EDGE_WATCH_ENDPOINTS].complete_ms;
 
 	return at ? now - at : -1;
 }
@@ -275,7 +276,7 @@
 static void log_gone(struct flt_endpoint *e, void *arg)
 {
 	log_endpoint(arg, e, "gone");
-	edge_fatal_gone(arg, e);
+	edge_fatal_endpoint_gone(arg, e);
 }
 
 void edge_store_open(struct edge *en, const struct sockaddr_in *addr)
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -68,7 +68,7 @@
 	if (w->era == era)
 		return false;
 	w->era = era;
-	w->returning = w->mirror.whole;
+	w->resyncing = w->mirror.whole;
 	feed_clear(&w->feed);
 	mir_history_lost(&w->mirror, now);
 	return true;
@@ -99,7 +99,7 @@
 	if (a->more)
 		return;
 	w->complete_ms = now;
-	w->returning = false;
+	w->resyncing = false;
 }
 
 static void apply_changes(struct edge_watch *w, const struct sto_answer *a)
@@ -148,11 +148,11 @@
 		return;
 	}
 	pass_on(w, a);
-	w->direct = true;
+	w->from_store = true;
 	apply_changes(w, a);
 	mir_watched(&w->mirror, a->nr_items > 0, a->revision, now);
 	w->complete_ms = now;
-	edge_inner_feed(en, now);
+	edge_serve_followers(en, now);
 }
 
 /* ---- Following another entry's watch ---- */
@@ -177,7 +177,7 @@
 	/* Kept for the time when we watch the store and others follow us. */
 	feed_add(&w->feed, w->mirror.revision, a->revision, a->nr_items > 0,
 		 a->raw, a->raw_len);
-	w->direct = false;
+	w->from_store = false;
 	apply_changes(w, a);
 	mir_watched(&w->mirror, false, a->revision, now);
 	w->complete_ms = now;
@@ -188,10 +188,10 @@
 	struct edge *en = w->en;
 	const struct prs_peer *p;
 
-	if (w == &en->watches[EDGE_ROLLOUTS] || now < w->follow_after_ms ||
-	    en->stopping)
+	if (w == &en->watches[EDGE_WATCH_ROLLOUTS] ||
+	    now < w->follow_after_ms || en->stopping)
 		return false;
-	p = edge_leader(en, now);
+	p = edge_watch_leader(en, now);
 	if (!p)
 		return false;
 	w->following = true;
@@ -201,19 +201,19 @@
 	return true;
 }
 
-bool edge_watch_leads(const struct edge_watch *w, int64_t now)
+bool edge_watch_is_current(const struct edge_watch *w, int64_t now)
 {
 	const struct edge *en = w->en;
 
-	return !en->stopping && w->mirror.whole && !w->returning &&
+	return !en->stopping && w->mirror.whole && !w->resyncing &&
 	       now - sto_direct_good_ms(en->store) <= TRUST_WAY_MS &&
 	       feed_alive(w->complete_ms, w->wait_ms, now);
 }
 
 /* ---- Life ---- */
 
-static void open_watch(struct edge *en, enum edge_keys keys, const char *prefix,
-		       int wait_ms)
+static void open_watch(struct edge *en, enum edge_watch_id keys,
+		       const char *prefix, int wait_ms)
 {
 	struct edge_watch *w = &en->watches[keys];
 
@@ -221,7 +221,7 @@
 	w->prefix = prefix;
 	w->wait_ms = wait_ms;
 	feed_init(&w->feed);
-	mir_init(&w->mirror, &edge_keys_vtable, en);
+	mir_init(&w->mirror, &edge_mirror_vtable, en);
 }
 
 static int endpoints_wait(const struct edge *en)
@@ -238,10 +238,10 @@
 	static_assert(EDGE_CONFIG_LANE < STO_LANES,
 		      "each is followed by itself");
 
-	open_watch(en, EDGE_ENDPOINTS, en->wire->endpoint_prefix,
+	open_watch(en, EDGE_WATCH_ENDPOINTS, en->wire->endpoint_prefix,
 		   endpoints_wait(en));
-	open_watch(en, EDGE_OWN, EDGE_OWN_PREFIX, OWN_WAIT_MS);
-	open_watch(en, EDGE_ROLLOUTS, en->wire->rollout_prefix,
+	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, OWN_WAIT_MS);
+	open_watch(en, EDGE_WATCH_ROLLOUTS, en->wire->rollout_prefix,
 		   ROLLOUTS_WAIT_MS);
 }
 
@@ -252,8 +252,8 @@
 		.since_ms = now - en->start_ms,
 		.first = en->conf->first_start,
 		.others = en->prs.count,
-		.entries = w == &en->watches[EDGE_OWN],
-		.asked = w->asked,
+		.entries = w == &en->watches[EDGE_WATCH_SYSTEM],
+		.asked = w->watched_store,
 	};
 
 	return feed_may_watch(&s);
@@ -264,7 +264,7 @@
 	struct sto_call c = { .key = w->prefix };
 
 	/* Another call showed it; one of ours that is under way ends first. */
-	if (!w->mirror.calling && w->mirror.whole && !w->returning)
+	if (!w->mirror.calling && w->mirror.whole && !w->resyncing)
 		returned(w, now);
 	if (w->mirror.state == MIR_WATCH && !may_watch(w, now))
 		return;
@@ -280,7 +280,7 @@
 		if (follow(w, now))
 			return;
 		c.kind = STO_WATCH;
-		w->asked = true;
+		w->watched_store = true;
 		w->following = false;
 		c.revision = w->mirror.revision;
 		c.wait_ms = w->wait_ms;
@@ -294,8 +294,8 @@
 {
 	unsigned i;
 
-	for (i = 0; i < EDGE_NR_FOLLOWED; i++)
+	for (i = 0; i < EDGE_NR_SHARED_WATCHES; i++)
 		watch_tick(&en->watches[i], now);
 	if (en->lead.mine && en->conf->bounds.exposure_share > 0)
-		watch_tick(&en->watches[EDGE_ROLLOUTS], now);
+		watch_tick(&en->watches[EDGE_WATCH_ROLLOUTS], now);
 }
--- a/tests/fuzz/fuzz_edge.c
+++ b/tests/fuzz/fuzz_edge.c
@@ -97,12 +97,12 @@
 	size_t used;
 
 	if (!read_one(&first, data, len, &used) ||
-	    pf_wire()->attempt(&first.p.msg, &a, &e)) {
+	    pf_wire()->decode_request(&first.p.msg, &a, &e)) {
 		reader_free(&first);
 		return 0;
 	}
 	(*taken)++;
-	pf_wire()->forward(&first.p.msg, &first.body, &a, &f, &out);
+	pf_wire()->encode_request(&first.p.msg, &first.body, &a, &f, &out);
 	if (!read_one(&second, out.data, out.len, &used) || used != out.len ||
 	    !same_request(&first, &second) || !nothing_forged(&second.p.msg))
 		wrong = 1;
--- a/tests/test_conf.c
+++ b/tests/test_conf.c
@@ -40,7 +40,7 @@
 
 	CU_ASSERT_EQUAL(conf_load("examples/edge.json", &c, &e), 0);
 	CU_ASSERT_STRING_EQUAL(c.zone, "north");
-	CU_ASSERT_EQUAL(c.first_port, 7600);
+	CU_ASSERT_EQUAL(c.first_internal_port, 7600);
 	CU_ASSERT(c.cloud.usage && c.cloud.scaling);
 	CU_ASSERT(c.first_start && c.bounds.strict_revoke);
 	CU_ASSERT_DOUBLE_EQUAL(c.bounds.retry_ratio, 0.2, 1e-9);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -33,7 +33,8 @@
 static void configuration_is_decoded_once(void)
 {
 	struct err e = ERR_INIT;
-	struct cfg *c = pf_wire()->config(document, strlen(document), &e);
+	struct cfg *c =
+		pf_wire()->decode_config(document, strlen(document), &e);
 	const struct cfg_route *r;
 	const struct cfg_account *a;
 
@@ -72,7 +73,7 @@
 		struct err e = ERR_INIT;
 
 		CU_ASSERT_PTR_NULL(
-			pf_wire()->config(bad[i], strlen(bad[i]), &e));
+			pf_wire()->decode_config(bad[i], strlen(bad[i]), &e));
 		CU_ASSERT(err_is(&e));
 	}
 }
@@ -92,18 +93,21 @@
 	struct err e = ERR_INIT;
 	const struct wire *w = pf_wire();
 
-	CU_ASSERT_EQUAL(
-		w->endpoint("servers/i-1", ready, strlen(ready), &info, &e), 0);
+	CU_ASSERT_EQUAL(w->decode_endpoint("servers/i-1", ready, strlen(ready),
+					   &info, &e),
+			0);
 	CU_ASSERT_STRING_EQUAL(info.id, "i-1");
 	CU_ASSERT_FALSE(info.draining);
 	CU_ASSERT_EQUAL(info.leaves_ms, -1);
-	CU_ASSERT_EQUAL(w->endpoint("servers/i-1", leaving, strlen(leaving),
-				    &info, &e),
+	CU_ASSERT_EQUAL(w->decode_endpoint("servers/i-1", leaving,
+					   strlen(leaving), &info, &e),
 			0);
 	CU_ASSERT(info.draining && info.reclaimable);
 	CU_ASSERT_EQUAL(info.leaves_ms, 2500);
-	CU_ASSERT_EQUAL(w->endpoint("servers/i-1", "{}", 2, &info, &e), -1);
-	CU_ASSERT_EQUAL(w->endpoint("servers/i-1", "x", 1, &info, &e), -1);
+	CU_ASSERT_EQUAL(w->decode_endpoint("servers/i-1", "{}", 2, &info, &e),
+			-1);
+	CU_ASSERT_EQUAL(w->decode_endpoint("servers/i-1", "x", 1, &info, &e),
+			-1);
 }
 
 /* Pieces of an endpoint's entry. */
@@ -166,11 +170,12 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		CU_ASSERT_EQUAL(w->endpoint("servers/i-1", bad[i],
-					    strlen(bad[i]), &info, &e),
+		CU_ASSERT_EQUAL(w->decode_endpoint("servers/i-1", bad[i],
+						   strlen(bad[i]), &info, &e),
 				-1);
-	CU_ASSERT_EQUAL(
-		w->endpoint("servers/i-1", good, strlen(good), &info, &e), 0);
+	CU_ASSERT_EQUAL(w->decode_endpoint("servers/i-1", good, strlen(good),
+					   &info, &e),
+			0);
 	CU_ASSERT_EQUAL(info.born_ms, 1790000000123);
 }
 
@@ -222,7 +227,7 @@
 	struct err e = ERR_INIT;
 
 	parse(&p, true, HEAD);
-	CU_ASSERT_EQUAL(pf_wire()->attempt(&p.msg, &a, &e), 0);
+	CU_ASSERT_EQUAL(pf_wire()->decode_request(&p.msg, &a, &e), 0);
 	CU_ASSERT_STRING_EQUAL(a.id, "abc123");
 	CU_ASSERT_STRING_EQUAL(a.host, "a.example");
 	CU_ASSERT_STRING_EQUAL(a.key, "k1");
@@ -259,7 +264,7 @@
 		struct hparse p;
 
 		parse(&p, true, bad[i]);
-		CU_ASSERT_EQUAL(pf_wire()->attempt(&p.msg, &a, &e), -1);
+		CU_ASSERT_EQUAL(pf_wire()->decode_request(&p.msg, &a, &e), -1);
 		CU_ASSERT(err_is(&e));
 		hparse_free(&p);
 	}
@@ -278,9 +283,9 @@
 	struct attempt a;
 
 	parse(&p, true, HEAD);
-	pf_wire()->attempt(&p.msg, &a, NULL);
+	pf_wire()->decode_request(&p.msg, &a, NULL);
 	buf_str(&body, "body");
-	pf_wire()->forward(&p.msg, &body, &a, &f, &out);
+	pf_wire()->encode_request(&p.msg, &body, &a, &f, &out);
 	CU_ASSERT_EQUAL(strncmp(out.data, "POST /x/1?q=2 HTTP/1.1\r\n", 24), 0);
 	CU_ASSERT_PTR_NULL(strstr(out.data, "forged"));
 	CU_ASSERT_PTR_NULL(strstr(out.data, "Hold"));
@@ -306,23 +311,23 @@
 	parse(&p, false,
 	      "HTTP/1.1 200 OK\r\nAttempt-Id: abc\r\nReplica-Seal: s\r\n"
 	      "Content-Type: text/event-stream\r\nContent-Length: 0\r\n\r\n");
-	pf_wire()->reply(&p.msg, &a, &r);
+	pf_wire()->decode_answer(&p.msg, &a, &r);
 	CU_ASSERT(r.echoed && r.sealed && r.events);
 	CU_ASSERT_FALSE(r.other || r.not_run || r.misdirected);
 	hparse_free(&p);
 	parse(&p, false,
 	      "HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
-	pf_wire()->reply(&p.msg, &a, &r);
+	pf_wire()->decode_answer(&p.msg, &a, &r);
 	CU_ASSERT(r.not_run && !r.other && !r.echoed);
 	hparse_free(&p);
 	parse(&p, false, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n");
-	pf_wire()->reply(&p.msg, &a, &r);
+	pf_wire()->decode_answer(&p.msg, &a, &r);
 	CU_ASSERT(r.not_run && r.misdirected);
 	hparse_free(&p);
 	parse(&p, false,
 	      "HTTP/1.1 200 X\r\nAttempt-Id: zz\r\n"
 	      "Content-Length: 0\r\n\r\n");
-	pf_wire()->reply(&p.msg, &a, &r);
+	pf_wire()->decode_answer(&p.msg, &a, &r);
 	CU_ASSERT(r.other && !r.echoed);
 	hparse_free(&p);
 }
@@ -331,13 +336,14 @@
 {
 	BUF_AUTO out = BUF_INIT;
 
-	pf_wire()->own_answer(503, "abc", "no \"room\"", 250, true, &out);
+	pf_wire()->encode_own_answer(503, "abc", "no \"room\"", 250, true,
+				     &out);
 	CU_ASSERT_EQUAL(strncmp(out.data, "HTTP/1.1 503 ", 13), 0);
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "Retry-After: 0.250\r\n"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "Connection: close\r\n"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "no \\\"room\\\""));
 	buf_reset(&out);
-	pf_wire()->own_answer(404, NULL, "no", -1, false, &out);
+	pf_wire()->encode_own_answer(404, NULL, "no", -1, false, &out);
 	CU_ASSERT_PTR_NULL(strstr(out.data, "Retry-After"));
 }
 
@@ -354,7 +360,7 @@
 	parse(&p, true, "GET /v1/resolver HTTP/1.1\r\nHost: a\r\n\r\n");
 	CU_ASSERT_FALSE(pf_wire()->is_lookup(&p.msg));
 	hparse_free(&p);
-	pf_wire()->lookup_answer(addresses, 2, 2, &out);
+	pf_wire()->encode_lookup_answer(addresses, 2, 2, &out);
 	CU_ASSERT_PTR_NOT_NULL(
 		strstr(out.data, "{\"addresses\":[\"1.1.1.1:1\",\"2.2.2.2:2\"],"
 				 "\"ttlS\":2}"));
@@ -456,8 +462,8 @@
 	BUF_AUTO counts = BUF_INIT;
 	BUF_AUTO out = BUF_INIT;
 
-	pf_wire()->usage_counts(t, 2, &counts);
-	pf_wire()->usage(&d, 355, counts.data, &out);
+	pf_wire()->encode_usage_counts(t, 2, &counts);
+	pf_wire()->encode_usage(&d, 355, counts.data, &out);
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "POST /usage HTTP/1.1\r\n"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "Duty-Holder: edge-1\r\n"
 						"Fencing-Token: 12\r\n"));
@@ -465,7 +471,7 @@
 		strstr(out.data,
 		       "{\"windowNo\":355,\"counts\":{\"t1\":12,\"t2\":3}}"));
 	buf_reset(&out);
-	pf_wire()->scale(&d, "s", "z", true, 4, &out);
+	pf_wire()->encode_scale(&d, "s", "z", true, 4, &out);
 	CU_ASSERT_PTR_NOT_NULL(strstr(
 		out.data, "{\"service\":\"s\",\"zone\":\"z\",\"desired\":4,"
 			  "\"spot\":true}"));
@@ -491,10 +497,10 @@
 		for (k = 0; k < 1 + rnd_below(&rnd, 6); k++)
 			text.data[rnd_below(&rnd, (uint32_t)text.len)] =
 				(char)rnd_below(&rnd, 256);
-		c = w->config(text.data, text.len, &e);
+		c = w->decode_config(text.data, text.len, &e);
 		CU_ASSERT(c != NULL || err_is(&e));
 		cfg_put(c);
-		w->endpoint("servers/x", text.data, text.len, &info, &e);
+		w->decode_endpoint("servers/x", text.data, text.len, &info, &e);
 		memset(&a, 0, sizeof(a));
 		w->store->decode((enum sto_kind)(round % 7), 200, text.data,
 				 text.len, &a);
