--- a/lib/edge/edge.h
+++ b/lib/edge/edge.h
@@ -1,9 +1,9 @@
 /*
- * edge: an entry on the platform, as one event loop.
+ * edge: one entry of the request proxy, as a single-threaded event loop.
  *
- * The decisions are pure modules (request, route, limit, config, fleet,
- * member, store, duty); this shell gives them events and carries out what
- * they say.
+ * Decisions are made by modules without I/O (request, route, limit, config,
+ * fleet, member, store, duty). This module does the I/O: it passes events and
+ * the time to them and carries out the steps that they return.
  */
 #ifndef EDGE_H
 #define EDGE_H
@@ -15,8 +15,13 @@
 #include "edge/wire.h"
 
 /*
- * Runs until SIGTERM has been served. Returns the exit code: 0, or 1 with an
- * error if the entry cannot start.
+ * Runs an entry until SIGTERM or SIGINT and the drain that follows. Returns
+ * the process's exit code: 0, or 1 with an error in `e` if the entry cannot
+ * start.
+ *
+ * `settings_path` is read again on SIGHUP. All pointers must stay valid until
+ * the return; `conf` is copied. Call once per process: it uses the default
+ * loop and does not free all memory.
  */
 int edge_run(const char *settings_path, const struct conf *conf,
 	     const struct wire *wire, const struct clk *clk,
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -1,6 +1,17 @@
 /*
- * What the parts of the entry share. Life spans: `struct edge_req` a request,
- * `struct hsc` a connection, `struct cfg` a version, `struct edge` a process.
+ * edge: declarations shared by the files of the entry.
+ *
+ * An entry is one process of the request proxy: it admits callers' requests,
+ * sends them to endpoints and passes the answers on. All entries are equal;
+ * they share state by gossip (UDP datagrams) and by the key-value store.
+ *
+ * Lifetimes: `struct edge` lives as long as the process, `struct edge_req` as
+ * a request, `struct hsc` as a connection, `struct cfg` as a version of the
+ * configuration.
+ *
+ * Times: *_ms are milliseconds, and points in time are those of edge_now().
+ * *_true_ms are points in time of the corrected wall clock (truth.h), since
+ * 1970. Functions that take `now` expect edge_now().
  */
 #ifndef EDGE_INTERNAL_H
 #define EDGE_INTERNAL_H
@@ -38,15 +49,19 @@
 #include "stream/evs.h"
 #include "stream/hand.h"
 
-#define EDGE_MAX_RETRY_BUDGETS 32 /* services with a budget of repeats */
+/* Services with a retry budget of their own; any further share the first. */
+#define EDGE_MAX_RETRY_BUDGETS 32
+
+/* Endpoints that are excluded from further sends of a request. */
 #define EDGE_MAX_EXCLUDED PICK_MAX_EXCLUDED
 
 /*
- * The rate of callers' requests is measured over so long: longer than the
- * gaps of a named entry, shorter than a burst.
+ * Time constant of the rate of callers' requests: longer than the gaps between
+ * requests at an advertised entry, shorter than a burst.
  */
 #define EDGE_ARRIVAL_RATE_MS 2000.0
 
+/* Named after the metrics that they hold; see register_metrics (edge.c). */
 struct edge_metrics {
 	met_value *requests, *answers_passed, *answers_refused, *answers_failed,
 		*streams_cut, *callers_gone, *requests_denied;
@@ -58,76 +73,83 @@
 	met_value *store_failures, *store_returns, *config_checks;
 	met_value *usage_reports, *scale_orders;
 	met_value *rollouts_completed, *rollouts_rolled_back, *sends_on_trial;
-	met_value *entries_unreadable; /* of endpoints, in the store */
+	met_value *entries_unreadable; /* endpoint_entries_unreadable_total */
 	met_value *lines_dropped, *config_version, *endpoints, *entries;
 	met_value *list_age_ms;
 	struct met_histogram *first_event_ms, *answer_ms, *endpoint_ms;
 	struct met_histogram *prediction_error_ms;
 };
 
+/* The retry budget of one service. */
 struct edge_retry_budget {
 	char service[FLT_NAME];
 	struct again budget;
 };
 
-/* Our registration in the store and the lease that it hangs on. */
+/* The lease in the store that this entry's registration is bound to. */
 struct edge_lease {
-	int64_t id; /* 0: none */
-	int64_t expires_ms;
-	int64_t next_call_ms; /* when to renew, or to try again */
+	int64_t id;	      /* 0: none */
+	int64_t expires_ms;   /* valid until then at least */
+	int64_t next_call_ms; /* time of the next grant, renewal or retry */
 	bool call_in_flight;
-	bool registered; /* the entry's key is written under this lease */
+	bool registered; /* the entry's key was written under it */
 };
 
 /*
- * The store's keys that are read and watched, each kind by itself. An answer
- * comes whole or not at all, so what is urgent and small is not asked for
- * together with what may be large: an endpoint's leaving would be learned
- * with the last byte of a configuration. That is read apart (edge_config.c).
+ * The groups of keys that are mirrored from the store, each by a watch of its
+ * own. An answer of the store is received whole or not at all, so small and
+ * urgent keys are kept apart from large ones: otherwise the removal of an
+ * endpoint would be known only with the last byte of a configuration. The
+ * configuration is read separately (edge_config.c).
  */
 enum edge_watch_id {
-	EDGE_WATCH_ENDPOINTS,
-	EDGE_WATCH_SYSTEM,   /* entries, the duties' holder and plan */
-	EDGE_WATCH_ROLLOUTS, /* operators' orders, watched only by the holder */
+	EDGE_WATCH_ENDPOINTS, /* wire.endpoint_prefix */
+	EDGE_WATCH_SYSTEM,    /* EDGE_SYSTEM_PREFIX: keys of the entries */
+	EDGE_WATCH_ROLLOUTS,  /* wire.rollout_prefix; only by the duty holder */
 	EDGE_NR_WATCHES,
 };
 
-/* Entries follow each other's watches of the kinds before this one. */
+/* Watches with a lower id can be followed at another entry. */
 #define EDGE_NR_SHARED_WATCHES EDGE_WATCH_ROLLOUTS
 
-/* Beside these, the lane on which versions of the configuration are handed on. */
+/* The sto_follow lane on which configurations are fetched from other entries. */
 #define EDGE_CONFIG_LANE EDGE_NR_SHARED_WATCHES
 
+/* A mirror of the keys with a prefix, kept up to date by a watch. */
 struct edge_watch {
 	struct edge *en;
 	const char *prefix;
-	int wait_ms; /* of a watch */
+	int wait_ms; /* that the store holds a watch without changes */
 	struct mir mirror;
-	struct feed feed;
-	bool watched_store;	 /* the store was watched since the start */
-	bool following;		 /* the last call asked another entry */
-	bool from_store;	 /* the last answer was the store's own */
-	int64_t follow_after_ms; /* no entry is followed before */
-	int64_t complete_ms;	 /* when all was known last; 0: never */
-	int64_t era;		 /* of the store, of what was read */
-	bool resyncing; /* it is read anew: the store came back from a copy */
+	struct feed feed;	 /* changes kept for followers */
+	bool watched_store;	 /* at least one watch was sent to the store */
+	bool following;		 /* the last watch was sent to another entry */
+	bool from_store;	 /* the last answer came from the store */
+	int64_t follow_after_ms; /* watches go to the store until then */
+	int64_t complete_ms;	 /* the mirror was last complete; 0: never */
+	int64_t era;		 /* of the store when the keys were read */
+	bool resyncing;		 /* re-reading all keys in a new era */
 };
 
-/* What is known of the store's era (edge_era.c). */
+/*
+ * The store's era (edge_era.c): its number rises each time the store is
+ * restored from an older copy.
+ */
 struct edge_era {
-	int64_t detected_ms;   /* we noted that the store had come back */
-	int64_t began_true_ms; /* time of day; 0: not known to have come back */
-	int64_t record_version; /* version of the record in the store; 0: none */
-	int64_t recorded_era;	/* the era in it */
-	int64_t next_write_ms;	/* it is not written before */
-	bool record_read;	/* the record was looked for */
+	int64_t detected_ms;	/* this entry detected the restore; 0: none */
+	int64_t began_true_ms;	/* begin of the era; 0: no restore known */
+	int64_t record_version; /* of the record in the store; 0: no record */
+	int64_t recorded_era;	/* the era that the record states */
+	int64_t next_write_ms;	/* the record is not written before */
+	bool record_read;	/* the system keys were read once */
 };
 
+/* The entry. */
 struct edge {
 	struct ev_loop *loop;
 	const struct clk *clk;
-	const struct conf *conf;
-	struct conf mutable_conf;
+	const struct conf *conf;  /* mutable_conf, for readers */
+	struct conf mutable_conf; /* changes on SIGHUP */
 	const char *settings_path;
 	const struct wire *wire;
 	struct jlog *log;
@@ -135,62 +157,63 @@
 	struct edge_metrics m;
 	struct rnd rnd;
 	int64_t start_ms;
-	uint64_t boot;	 /* of this process */
-	uint64_t source; /* hash of name and boot: whose counts these are */
+	uint64_t boot;	 /* random id of this process, not 0 */
+	uint64_t source; /* edge_source() of this process */
 
 	struct hsc_server callers, ready, lookup, peers;
-	struct cds_list_head requests; /* of edge_req */
+	struct cds_list_head requests; /* of edge_req.node */
 
 	struct sto *store;
 	struct edge_watch watches[EDGE_NR_WATCHES];
-	struct cds_list_head followers; /* of edge_follower */
+	struct cds_list_head followers; /* of edge_follower.node */
 	struct edge_era era;
 	struct force force;
 	struct {
 		int64_t era;
-		struct buf body; /* as an answer of a watch; empty: too large */
+		/* In the form of a watch's answer; empty: too large. */
+		struct buf body;
 		int64_t version;
-	} config_copy; /* of the configuration, for entries that follow us */
+	} config_copy; /* the configuration, for followers */
 	struct vfy vfy;
-	int watch_rank; /* among the entries that watch the store; -1 */
+	int watch_rank; /* edge_watch_rank() at the last gossip round */
 	struct cds_list_head awaiting_config; /* of edge_req.wait_node */
 	struct edge_lease lease;
 
 	struct flt fleet;
-	struct cds_list_head models; /* of svc: what services' answers showed */
+	struct cds_list_head models; /* of svc, one per service */
 	struct parts parts;
 	struct acct_table accounts;
 	struct edge_retry_budget budgets[EDGE_MAX_RETRY_BUDGETS];
 	unsigned nr_budgets;
 
 	struct cds_list_head rollouts; /* of edge_rollout, one per service */
-	int64_t rollout_reported_ms; /* last report of bad answers to the holder */
+	int64_t rollout_reported_ms;   /* last report of bad answers */
 
-	struct fatal fatal;	     /* requests that may end endpoints */
+	struct fatal fatal;	     /* suspected poison requests */
 	struct cds_list_head parked; /* of edge_req.wait_node */
-	ev_timer fatal_gossip_timer; /* news of them waits for it */
-	int64_t fatal_gossip_ms;
-	int64_t fatal_expiry_ms; /* when old ones were last looked for */
-	unsigned nr_fatal_news;	 /* of the rows told, those that are news */
-	bool fatal_marked;	 /* flt_endpoint.suspects may be set */
-	bool fatal_from_others;	 /* news are of others, or of the store */
+	ev_timer fatal_gossip_timer; /* batches gossip about suspects */
+	int64_t fatal_gossip_ms;     /* when it last fired */
+	int64_t fatal_expiry_ms;     /* when old suspects were last removed */
+	unsigned nr_fatal_news;	     /* rows of gossip_out.fatal that are new */
+	bool fatal_marked;	     /* some flt_endpoint.suspects may be set */
+	bool fatal_from_others;	     /* applying gossip or records */
 
 	struct prs prs;
-	struct fade arrivals; /* of callers' requests, a second */
-	struct rank ranking;  /* work space: too large for the stack */
-	int gossip_fd;	      /* socket */
+	struct fade arrivals; /* callers' requests per second */
+	struct rank ranking;  /* scratch space, too large for the stack */
+	int gossip_fd;	      /* UDP socket */
 	ev_io gossip_watcher;
-	uint32_t seq;
-	int64_t loads_averaged_ms; /* when peers' loads were last averaged */
-	int64_t gossip_round_ms; /* when the last round of datagrams was sent */
-	unsigned next_peer;	 /* where that round ended */
-	unsigned sending_peers;
-	struct gsp_record gossip_out, gossip_in; /* too large for the stack */
-	char peer_address[80];			 /* IP:PORT for other entries */
+	uint32_t seq;		   /* of the last datagram sent */
+	int64_t loads_averaged_ms; /* last average of peers' loads */
+	int64_t gossip_round_ms;   /* start of the last gossip round */
+	unsigned next_peer;	/* index of the first peer of the next round */
+	unsigned sending_peers; /* peers that send requests to endpoints */
+	struct gsp_record gossip_out, gossip_in; /* scratch space */
+	char peer_address[80];			 /* IP:PORT, TCP and UDP */
 
 	struct lead lead;
-	struct carry plan; /* of the holder, as last read from the store */
-	char duty_holder[GSP_NAME]; /* entry that holds the duties; "": none */
+	struct carry plan; /* of the duty holder, as last read from the store */
+	char duty_holder[GSP_NAME]; /* name of the entry; "": none */
 	struct usage usage;
 	struct truth truth;
 	struct edge_duty *duty;
@@ -198,253 +221,376 @@
 	ev_timer tick;
 	ev_signal on_term, on_int, on_hup;
 	bool stopping;
-	int64_t stop_ms; /* when SIGTERM came */
+	int64_t stop_ms; /* when the signal came */
 };
 
+/* A caller's request, from its head to the end of its answer. */
 struct edge_req {
 	struct cds_list_head node;	/* in edge.requests */
-	struct cds_list_head wait_node; /* in edge.verifying or edge.parked */
+	struct cds_list_head wait_node; /* in edge.awaiting_config or .parked */
 	struct edge *en;
-	struct hsc *conn;
-	struct cfg *cfg;
+	struct hsc *conn; /* the caller's connection */
+	struct cfg *cfg;  /* referenced; NULL before admission */
 	const struct cfg_route *route;
-	const struct cfg_account *account;
+	const struct cfg_account *account; /* NULL: none */
 	const struct cfg_service *service;
 	struct attempt attempt;
-	struct rq rq;
-	struct hsh_wide content; /* account, host, path and body */
-	bool awaiting_config; /* in edge.verifying, for the newest configuration */
-	bool parked;   /* in edge.parked, until an endpoint was looked at */
-	bool isolated; /* it may end the endpoint that it is sent to */
-	bool config_checked; /* the configuration was asked for since it came */
+	struct rq rq; /* what was sent, and what may be sent again */
+	/* Hash of account, host, path and body: the same for all retries. */
+	struct hsh_wide content;
+	bool awaiting_config; /* in edge.awaiting_config */
+	bool parked;	      /* in edge.parked, until a probe has ended */
+	bool isolated; /* suspect: sent to an endpoint without other requests */
+	bool config_checked; /* the configuration was checked after arrival */
 	int64_t arrived_ms;
-	int64_t deadline_at_ms; /* deadline and route's time-out */
-	int64_t sent_true_ms;
+	int64_t deadline_at_ms; /* the earlier of deadline and route timeout */
+	int64_t sent_true_ms;	/* the current send */
 	int64_t sent_ms;
-	ev_timer deadline_timer; /* until_ms */
-	ev_timer verify_timer;	 /* the wait for the configuration is over */
-	double charged;		 /* of the account's limit */
+	ev_timer deadline_timer; /* fires after deadline_at_ms */
+	ev_timer verify_timer;	 /* bounds the wait in awaiting_config */
+	double charged; /* to the account's limit: requests or tokens */
 
-	struct flt_endpoint *endpoint; /* of the send under way */
+	/* The current send; endpoint is NULL between sends. */
+	struct flt_endpoint *endpoint; /* referenced */
 	struct htc_call *call;
-	double prefill_tokens; /* counted at the endpoint */
-	struct svc *model;     /* of the service of the send under way */
-	struct svc_state
-		endpoint_state; /* the endpoint when the request was sent */
-	double predicted_ms; /* the first event or answer was expected after */
-	bool prefill_known;  /* that at.read_tokens must be read */
+	double prefill_tokens; /* counted in endpoint->prefill_tokens */
+	struct svc *model;     /* of the service */
+	struct svc_state endpoint_state; /* when the request was sent */
+	double predicted_ms; /* to the first event, or an answer without any */
+	bool prefill_known;  /* endpoint_state.read_tokens is certain */
+
 	struct flt_endpoint *tried[EDGE_MAX_EXCLUDED]; /* referenced */
 	unsigned nr_tried;
 	unsigned sends;
-	unsigned
-		sends_reached; /* sends that reached an endpoint, or may have */
-	bool retry_charged; /* the send under way is paid of the budget of repeats */
+	unsigned sends_reached; /* sends that may have reached an endpoint */
+	bool retry_charged;	/* the current send was charged to the budget */
 	struct reply reply;
-	struct buf answer_head; /* of the answer, until its first event */
-	struct buf answer_body; /* of an answer that is not streamed */
+	struct buf answer_head; /* until the first event was passed on */
+	struct buf answer_body; /* of an answer without a stream */
 	struct {
 		uint64_t order; /* 0: not counted */
 		uint32_t route, group;
 		bool answered;
-	} tally; /* of the send under way, in a roll-out (tally.h) */
+	} tally; /* how the current send is counted in a roll-out (tally.h) */
 	struct evs events;
-	struct hand hand;	/* the stream's hand-over, from this endpoint */
-	struct edge_move *move; /* the call for it; NULL: none */
-	bool streaming;
-	bool announced_close; /* the head said that the connection closes */
-	bool usage_counted;   /* in the usage */
-	int64_t first_event_ms;
-	int64_t last_event_ms; /* the last event was passed on; 0: none yet */
-	int64_t max_pause_ms;  /* the longest between two events */
+	struct hand hand;	/* migration of the stream off this endpoint */
+	struct edge_move *move; /* its call; NULL: none */
+	bool streaming;		/* the current answer is a stream of events */
+	bool announced_close;	/* the head has "Connection: close" */
+	bool usage_counted;	/* in the account's usage */
+	int64_t first_event_ms; /* passed on; 0: none yet */
+	int64_t last_event_ms;	/* passed on; 0: none yet */
+	int64_t max_pause_ms;	/* longest time between two events */
 };
 
 /* ---- edge_req.c: admission ---- */
-extern const struct hsc_vtable edge_caller_vtable;
+
+extern const struct hsc_vtable edge_caller_vtable; /* owner: edge */
+
+/* Resumes the admission of all requests in en->awaiting_config. */
 void edge_req_resume_waiting(struct edge *en);
-/* Ends the request with an answer of ours. */
+
+/*
+ * Ends the request with an error response of the entry itself, and frees it.
+ * `retry_ms`: Retry-After; -1: none. An amount that was charged to the
+ * account's limit is refunded unless the request may have run.
+ */
 void edge_req_answer(struct edge_req *r, int status, const char *why,
 		     int64_t retry_ms);
+
+/* Frees the request, and cancels what is in flight for it. */
 void edge_req_free(struct edge_req *r);
-/* True if the service's budget has a repeat left; `spend` takes it. */
+
+/* True if the service's retry budget allows a retry; `spend` charges it. */
 bool edge_may_retry(struct edge_req *r, bool spend);
-/* Gives back what the send under way was paid of it. */
+
+/* Returns what the current send was charged to the retry budget. */
 void edge_retry_refund(struct edge_req *r);
 
-/* ---- edge_send.c: to an endpoint ---- */
+/* ---- edge_send.c: sending requests to endpoints ---- */
+
+/* Picks an endpoint and sends the request, or ends it; may free `r`. */
 void edge_send(struct edge_req *r);
+
+/* Closes and frees the endpoint's connections; for flt_init(). */
 void edge_conn_pool_free(struct flt_endpoint *e);
-/* The connections to the endpoint; NULL: its address makes no sense. */
+
+/*
+ * The connections to the endpoint, made on first use and owned by it. NULL: its
+ * address cannot be parsed.
+ */
 struct htc_peer *edge_conn_pool(struct edge *en, struct flt_endpoint *e);
-/* The run was copied: the request goes on at `to`, from that copy. */
+
+/*
+ * Continues a migrated run on `to`, which holds a copy of its KV cache under
+ * `handle`. May free `r`.
+ */
 void edge_send_moved(struct edge_req *r, struct flt_endpoint *to,
 		     const char *handle);
 
-/* ---- edge_probe.c: is an endpoint still there? ---- */
+/* ---- edge_probe.c: probes of endpoints after broken connections ---- */
+
 /*
- * A send that was under way there broke off. True: edge_fatal_probed follows,
- * never from within.
+ * Probes an endpoint unless a probe is in flight. True: edge_fatal_probed is
+ * called with the result, never from within. False: no socket or no address.
  */
 bool edge_probe(struct edge *en, struct flt_endpoint *e);
 
-/* ---- edge_fatal.c: requests that end endpoints ---- */
+/* ---- edge_fatal.c: quarantine of poison requests ---- */
+
+/* Key prefix of the records of quarantined requests. */
 #define EDGE_FATAL_PREFIX "md/fatal/"
+
 void edge_fatal_open(struct edge *en);
 void edge_fatal_tick(struct edge *en, int64_t now);
-/* False: it was answered, or waits, and is sent later. */
+
+/*
+ * True if the request may be sent now. False: it was parked, or it was ended
+ * and freed.
+ */
 bool edge_fatal_may_send(struct edge_req *r);
-/* A send of it began; it is over. */
+
+/* A send of the request began; a send ended, however it ended. */
 void edge_fatal_sent(struct edge_req *r);
 void edge_fatal_stopped(struct edge_req *r);
-/* The send under way broke off. */
+
+/* The current send broke off: the endpoint may have crashed. */
 void edge_fatal_send_broken(struct edge_req *r);
-/* A whole answer came: it does not end endpoints. */
+
+/* The answer was complete, which clears the request of suspicion. */
 void edge_fatal_answered(struct edge_req *r);
+
+/* The result of a probe. */
 void edge_fatal_probed(struct edge *en, struct flt_endpoint *e,
 		       enum htc_found found);
-/* The endpoint is off the list for good. */
+
+/* The endpoint was removed for good from the list. */
 void edge_fatal_endpoint_gone(struct edge *en, const struct flt_endpoint *e);
+
+/* Adds what this entry knows of suspects to a datagram; takes over another's. */
 void edge_fatal_fill_gossip(struct edge *en, struct gsp_record *out,
 			    int64_t now);
 void edge_fatal_apply_gossip(struct edge *en, const struct gsp_record *r,
 			     int64_t now);
-/* Notes at the endpoints where a suspect runs that it does. */
+
+/* Recounts flt_endpoint.suspects of all endpoints. */
 void edge_fatal_mark_endpoints(struct edge *en);
-/* The store's record of a conviction came, or went. */
+
+/* The record of a quarantined request was written, or was deleted. */
 void edge_fatal_record_seen(struct edge *en, const char *key, const char *value,
 			    size_t len);
 void edge_fatal_record_deleted(struct edge *en, const char *key);
-/* The store came back from a copy that has not got it. */
+
+/* The store lost the record when it was restored from an older copy. */
 void edge_fatal_record_lost(struct edge *en, const char *key);
 
-/* ---- edge_answer.c: what comes back, and what is done next ---- */
-/* When to come back after endpoints were full: a request's time or two. */
+/* ---- edge_answer.c: endpoints' answers, and the next step ---- */
+
+/*
+ * Retry-After when all endpoints are full, ms: about the time that one or two
+ * requests take.
+ */
 #define EDGE_FULL_RETRY_MS 500
+
 extern const struct htc_vtable edge_answer_vtable; /* owner: edge_req */
-/* The send under way is over, however it ended. */
+
+/*
+ * Ends the current send, if there is one: cancels its call and releases the
+ * endpoint.
+ */
 void edge_send_stop(struct edge_req *r);
+
+/* Carries out a step of rq.h; may free `r`. `why`: for the log and caller. */
 void edge_step(struct edge_req *r, enum rq_step step, const char *why);
-/* Nothing of the prompt is left to be read at the endpoint. */
+
+/* The prefill of the current send is done: it no longer counts as waiting. */
 void edge_prefill_done(struct edge_req *r);
-/* The endpoint did not run it: it goes elsewhere, or is refused. */
+
+/* The endpoint did not run the request: retries it or ends it. May free `r`. */
 void edge_send_not_run(struct edge_req *r, enum flt_outcome o, const char *why);
-/* There was no connection to the endpoint. */
+
+/* There was no connection to the endpoint: as edge_send_not_run. */
 void edge_send_unreached(struct edge_req *r, const char *why);
+
+/* Logs the end of the current send. */
 void edge_log_send_ended(struct edge_req *r, const char *outcome, int status);
-/* The run was stopped, and there is no copy; or it had come to its end. */
+
+/*
+ * After a migration failed: the run was stopped and its outcome is lost, or it
+ * was complete. May free `r`.
+ */
 void edge_send_lost(struct edge_req *r, const char *why);
 void edge_send_finished(struct edge_req *r);
 
-/* ---- edge_learn.c: what answers show of the endpoints ---- */
+/* ---- edge_learn.c: samples for the services' models ---- */
 
-/* The model of the service, made on first use. */
+/* The model of the service, made on first use and never freed. */
 struct svc *edge_service_model(struct edge *en, const char *service);
-/* The first event of the send under way is there. */
+
+/* The first event of the current send arrived. */
 void edge_learn_first_event(struct edge_req *r);
-/* The send under way ended well. */
+
+/* The current send ended with a complete answer. */
 void edge_learn_completed(struct edge_req *r);
 
-/* ---- edge_move.c: streams on endpoints that leave ---- */
+/* ---- edge_move.c: migration of streams off leaving endpoints ---- */
+
 void edge_move_tick(struct edge *en, int64_t now);
+
+/* Cancels the migration, if one is in progress. */
 void edge_move_cancel(struct edge_req *r);
-/* The copy is there and the stream has stopped. */
+
+/* The KV cache was copied and the stream has stopped: continues at the copy. */
 void edge_move_continue(struct edge_req *r);
 
-/* ---- edge_store.c: what the store says ---- */
+/* ---- edge_store.c: changes of keys in the store ---- */
+
 extern const struct mir_vtable edge_mirror_vtable; /* arg: struct edge */
+
+/* `addr`: of the store. */
 void edge_store_open(struct edge *en, const struct sockaddr_in *addr);
 void edge_store_tick(struct edge *en, int64_t now);
-/* Logs that the value of a key makes no sense. */
+
+/* Logs that the value of a key cannot be decoded. */
 void edge_log_unreadable(struct edge *en, const char *key, const char *why);
-/* How long ago the list of endpoints was complete; -1: it never was. */
+
+/* Time since the list of endpoints was last complete, ms; -1: never. */
 int64_t edge_list_age(const struct edge *en, int64_t now);
-#define EDGE_SYSTEM_PREFIX "md/"
-#define EDGE_DUTY_KEY "md/duty"
-#define EDGE_USAGE_PREFIX "md/usage/"
-#define EDGE_PLAN_KEY "md/plan"
 
-/* ---- edge_watch.c: following the store's keys ---- */
+#define EDGE_SYSTEM_PREFIX "md/"      /* all keys that entries write */
+#define EDGE_DUTY_KEY "md/duty"	      /* the duty holder */
+#define EDGE_USAGE_PREFIX "md/usage/" /* usage reports */
+#define EDGE_PLAN_KEY "md/plan"	      /* the duty holder's plan (carry.h) */
+
+/* ---- edge_watch.c: watches of the store, direct or at another entry ---- */
+
 void edge_watch_open(struct edge *en);
 void edge_watch_tick(struct edge *en, int64_t now);
-/* True if others may rely on what our watch of these keys brings. */
+
+/* True if the watch is current enough to serve followers. */
 bool edge_watch_is_current(const struct edge_watch *w, int64_t now);
 
-/* ---- edge_era.c: the store comes back from an older copy ---- */
+/* ---- edge_era.c: detection of a restored store ---- */
+
+/* The key that holds the era and when it began. */
 #define EDGE_ERA_KEY "md/era"
+
 void edge_era_open(struct edge *en);
 void edge_era_tick(struct edge *en, int64_t now);
-/* True if operators have had time to write again since the era began. */
+
+/*
+ * True if operators have had time since the era began to write again what the
+ * store lost.
+ */
 bool edge_era_settled(const struct edge *en, int64_t now);
-/* The record of the era came, or is gone. */
+
+/* The record of the era was written, with this key version, or was deleted. */
 void edge_era_record_seen(struct edge *en, const char *value, size_t len,
 			  int64_t version);
 void edge_era_record_deleted(struct edge *en);
 
 /* ---- edge_config.c: the configuration in force ---- */
-/* Asks the store if it is time to, or if a request waits for it. */
+
+/* Starts a check of the configuration if one is due or a request waits. */
 void edge_config_tick(struct edge *en, int64_t now);
 
-/* ---- edge_lease.c: registration, holding the duties ---- */
+/* ---- edge_lease.c: registration, and election of the duty holder ---- */
+
+/* Key prefix of the entries' registrations. */
 #define EDGE_ENTRY_PREFIX "md/entry/"
+
 void edge_lease_tick(struct edge *en, int64_t now);
-/* The lease is of an earlier era: another one, not before `next_ms`. */
+
+/*
+ * The lease is of an earlier era and no longer valid: drops it, and requests
+ * another one at `next_ms`.
+ */
 void edge_lease_invalidate(struct edge *en, int64_t next_ms);
-/* Gives up registration and duties at once: this entry leaves. */
+
+/* Gives up the duties and revokes the lease; for shutdown. */
 void edge_lease_resign(struct edge *en);
-/* How the duties' key names this boot. */
+
+/* Writes the value of EDGE_DUTY_KEY that names this process. */
 void edge_lease_format_holder(const struct edge *en, char *out, size_t size);
-/* The entry that such a name speaks of. */
+
+/* Extracts the entry's name from such a value, which needs no final NUL. */
 void edge_lease_parse_holder(const char *holder, size_t len, char *out,
 			     size_t size);
 
-/* ---- edge_inner.c: the internal listener ---- */
-extern const struct hsc_vtable edge_peer_http_vtable;
-/* Answers the entries that follow our watch, or wait for a version. */
+/* ---- edge_peer_http.c: HTTP server for other entries ---- */
+
+extern const struct hsc_vtable edge_peer_http_vtable; /* owner: edge */
+
+/* Answers the followers that have news, or whose wait is over. */
 void edge_serve_followers(struct edge *en, int64_t now);
 
-/* ---- edge_peer.c: other entries ---- */
+/* ---- edge_peer.c: gossip with other entries ---- */
+
+/* Opens the listener and the socket for datagrams; -1 with an error. */
 int edge_peer_open(struct edge *en, struct err *e);
+
+/* Runs a gossip round; called each 200 ms. */
 void edge_peer_tick(struct edge *en, int64_t now);
-/* Tells all the others at once, not in rounds: what cannot wait. */
+
+/* Sends to all peers at once instead of in rounds, for urgent news. */
 void edge_peer_broadcast(struct edge *en, int64_t now);
-/* Tells one of them. */
+
+/* Sends to one peer. */
 void edge_peer_send(struct edge *en, const struct prs_peer *p, int64_t now);
-/* Sum up what the others told. */
+
+/*
+ * Sum up what peers last reported: accounts' demands into en->accounts,
+ * endpoints' loads into en->fleet.
+ */
 void edge_peer_sum_demands(struct edge *en, int64_t now);
 void edge_peer_sum_loads(struct edge *en, int64_t now);
 
-/* ---- edge_rank.c: which entries do what only some of them should ---- */
+/* ---- edge_rank.c: selection of entries for roles of a few ---- */
 
-/* Our place among the entries that watch the store; -1: not one of them. */
+/*
+ * This entry's rank, from 0, among those that watch the store; -1: it is none
+ * of them. Overwrites en->ranking.
+ */
 int edge_watch_rank(struct edge *en, int64_t now);
 
 /*
- * The entry whose watch we follow; NULL: we watch the store ourselves.
+ * The peer whose watches this entry follows; NULL: it watches the store
+ * itself. Overwrites en->ranking.
  */
 const struct prs_peer *edge_watch_leader(struct edge *en, int64_t now);
 
-/* Marks the peers that are told all counts (prs_peer.keeps_counts). */
+/* Sets prs_peer.keeps_counts: the peers that are sent all usage counts. */
 void edge_mark_count_keepers(struct edge *en, int64_t now);
 
-/* Addresses of the entries that callers should use; returns how many. */
+/*
+ * The addresses that look-ups return to callers: fills in at most `max` and
+ * returns their number. The strings belong to `en`.
+ */
 size_t edge_advertised(struct edge *en, const char **out, size_t max,
 		       int64_t now);
 
-/* ---- edge_look.c: look-ups, readiness ---- */
-extern const struct hsc_vtable edge_lookup_vtable;
+/* ---- edge_lookup.c: look-ups of entries, readiness checks ---- */
+
+extern const struct hsc_vtable edge_lookup_vtable; /* owner: edge */
+
+/* True if this entry is ready for callers' requests. */
 bool edge_is_ready(const struct edge *en);
 
-/* ---- edge_duty.c ---- */
+/* ---- edge_duty.c: duties of the one entry that holds them ---- */
+
 void edge_duty_open(struct edge *en);
 void edge_duty_tick(struct edge *en, int64_t now);
+
+/* Counts a run of the request's account, which began at `true_ms`. */
 void edge_duty_count_run(struct edge_req *r, int64_t true_ms);
 
-/* How other entries know one start of an entry, in a word. */
+/* Identifies one process: the same name with another boot is another one. */
 static inline uint64_t edge_source(const char *name, uint64_t boot)
 {
 	return boot ^ hsh_str(name, 0);
 }
 
-/* The field by which lines on requests that ask the same are found. */
+/* Adds the log field that is the same for all attempts with this content. */
 static inline void edge_log_content(struct edge *en, struct hsh_wide content)
 {
 	char digits[33];
@@ -453,6 +599,7 @@
 	jlog_str(en->log, "content", digits);
 }
 
+/* The clock of all timers, ms: monotonic, and counts suspension. */
 static inline int64_t edge_now(const struct edge *en)
 {
 	return clk_boot_ms(en->clk);
