--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -10,22 +10,23 @@
 #include "edge/edge_rollout.h"
 
 /*
- * The loop looks after its duties this often: the shortest times that are
- * kept here are some hundred milliseconds.
+ * Interval of the periodic work. The shortest times that depend on it are a few
+ * hundred milliseconds.
  */
-#define TICK_MS 50
+#define TICK_INTERVAL_MS 50
 
-/* Rounds of datagrams, and of what follows from them. */
-#define PEER_MS 200
+/* Interval of gossip rounds and of the work that depends on them. */
+#define GOSSIP_INTERVAL_MS 200
 
 /*
- * After SIGTERM: at least so long, for callers who hold an older list, and
- * at most until the platform kills, less what leaving takes.
+ * A shutdown lasts at least this long after SIGTERM, since callers may still
+ * use an older answer of a look-up. It ends this margin before the platform
+ * kills the process (bounds.grace_s), for the time that closing takes.
  */
-#define LEAVE_MIN_MS 2500
-#define LEAVE_MARGIN_MS 400
+#define MIN_SHUTDOWN_MS 2500
+#define KILL_MARGIN_MS 400
 
-/* Each call is priced, so an operator must see which kind has grown. */
+/* One counter per kind: calls are billed, so operators need to see which grow. */
 static void register_store_metrics(struct met *m, struct edge_metrics *x)
 {
 	static const char *const names[STO_KINDS] = {
@@ -138,7 +139,7 @@
 		"first event, or answer without events, against what was expected");
 }
 
-/* ---- Leaving ---- */
+/* ---- Shutdown ---- */
 
 static void log_event(struct edge *en, const char *event)
 {
@@ -148,7 +149,7 @@
 	jlog_end(en->log);
 }
 
-static void on_stop(struct ev_loop *loop, ev_signal *w, int revents)
+static void on_stop_signal(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	struct edge *en = w->data;
 
@@ -164,18 +165,18 @@
 	edge_peer_tick(en, en->stop_ms);
 }
 
-static void leave_tick(struct edge *en, int64_t now)
+static void shutdown_tick(struct edge *en, int64_t now)
 {
 	const int64_t since = now - en->stop_ms;
 	const int64_t latest =
-		(int64_t)(en->conf->bounds.grace_s * 1000) - LEAVE_MARGIN_MS;
+		(int64_t)(en->conf->bounds.grace_s * 1000) - KILL_MARGIN_MS;
 
-	if (since < LEAVE_MIN_MS)
+	if (since < MIN_SHUTDOWN_MS)
 		return;
 	/*
-	 * First no request can come any more, then the last one ends, then
-	 * the process. Ending as soon as none is under way cut off a request
-	 * that was read in the same turn of the loop.
+	 * Stop accepting requests first, then wait until the last one has
+	 * ended. Exiting as soon as no request was in flight cut off one that
+	 * was read in the same iteration of the event loop.
 	 */
 	hsc_server_leave(&en->callers);
 	if (en->callers.nr_conns && since < latest)
@@ -183,9 +184,9 @@
 	ev_break(en->loop, EVBREAK_ALL);
 }
 
-/* ---- Settings that change ---- */
+/* ---- Reload of the settings ---- */
 
-static void on_reload(struct ev_loop *loop, ev_signal *w, int revents)
+static void on_reload_signal(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	struct edge *en = w->data;
 	struct err e = ERR_INIT;
@@ -199,14 +200,14 @@
 		jlog_end(en->log);
 		return;
 	}
-	/* Bounds change at once; addresses hold until the next start. */
+	/* These apply at once; the other settings need a restart. */
 	en->mutable_conf.bounds = c.bounds;
 	en->mutable_conf.list_ttl_s = c.list_ttl_s;
 	en->mutable_conf.policy = c.policy;
 	log_event(en, "reloaded");
 }
 
-/* ---- Life ---- */
+/* ---- Start and event loop ---- */
 
 static void on_tick(struct ev_loop *loop, ev_timer *t, int revents)
 {
@@ -216,7 +217,7 @@
 	(void)loop;
 	(void)revents;
 	edge_store_tick(en, now);
-	if (now - en->gossip_round_ms >= PEER_MS) {
+	if (now - en->gossip_round_ms >= GOSSIP_INTERVAL_MS) {
 		en->gossip_round_ms = now;
 		edge_peer_tick(en, now);
 	}
@@ -225,13 +226,13 @@
 	edge_fatal_tick(en, now);
 	edge_move_tick(en, now);
 	if (en->stopping)
-		leave_tick(en, now);
+		shutdown_tick(en, now);
 }
 
-/* Opens at `at`, and writes there which port it is (0: any free one). */
-static int open_server(struct edge *en, struct hsc_server *s,
-		       char at[CONF_ADDRESS_SIZE], const struct hsc_vtable *vt,
-		       struct err *e)
+/* Listens on `at`; port 0 in it is replaced by the port that was bound. */
+static int open_listener(struct edge *en, struct hsc_server *s,
+			 char at[CONF_ADDRESS_SIZE],
+			 const struct hsc_vtable *vt, struct err *e)
 {
 	struct sockaddr_in addr;
 
@@ -242,21 +243,21 @@
 	return 0;
 }
 
-static int open_servers(struct edge *en, struct err *e)
+static int open_listeners(struct edge *en, struct err *e)
 {
 	struct conf *c = &en->mutable_conf;
 
-	if (open_server(en, &en->ready, c->listen.ready, &edge_lookup_vtable,
-			e) ||
-	    open_server(en, &en->lookup, c->listen.lookup, &edge_lookup_vtable,
-			e) ||
-	    open_server(en, &en->callers, c->listen.callers,
-			&edge_caller_vtable, e))
+	if (open_listener(en, &en->ready, c->listen.ready, &edge_lookup_vtable,
+			  e) ||
+	    open_listener(en, &en->lookup, c->listen.lookup,
+			  &edge_lookup_vtable, e) ||
+	    open_listener(en, &en->callers, c->listen.callers,
+			  &edge_caller_vtable, e))
 		return -1;
 	return edge_peer_open(en, e);
 }
 
-static void start_signal(struct edge *en, ev_signal *w, int number,
+static void watch_signal(struct edge *en, ev_signal *w, int number,
 			 void (*cb)(struct ev_loop *, ev_signal *, int))
 {
 	ev_signal_init(w, cb, number);
@@ -290,7 +291,7 @@
 	edge_fatal_open(en);
 	edge_rollout_open(en);
 	en->accounts.first_start = c->first_start;
-	/* At the very first start there is no former holder to wait for. */
+	/* At the first start of the system no former holder can be active. */
 	lead_init(&en->lead, c->first_start ? 0 : (int64_t)c->bounds.lease_ms,
 		  now);
 	en->lead.stay_away_ms = (int64_t)c->bounds.lease_ms;
@@ -312,8 +313,8 @@
 	jlog_end(en->log);
 }
 
-/* What is left are requests that the grace had no time for. */
-static void close_all(struct edge *en)
+/* Cuts off requests that did not end within the grace period. */
+static void close_listeners(struct edge *en)
 {
 	log_event(en, "stopped");
 	hsc_server_close(&en->callers);
@@ -339,20 +340,21 @@
 	en->settings_path = settings_path;
 	en->wire = wire;
 	init(en);
-	if (ioc_address(conf->store.address, &store, e) || open_servers(en, e))
+	if (ioc_address(conf->store.address, &store, e) ||
+	    open_listeners(en, e))
 		return 1;
 	en->log = jlog_create(en->loop, clk, STDOUT_FILENO, level, conf->name);
 	log_start(en);
 	edge_store_open(en, &store);
 	edge_duty_open(en);
-	start_signal(en, &en->on_term, SIGTERM, on_stop);
-	start_signal(en, &en->on_int, SIGINT, on_stop);
-	start_signal(en, &en->on_hup, SIGHUP, on_reload);
-	ev_timer_init(&en->tick, on_tick, 0, (double)TICK_MS / 1000);
+	watch_signal(en, &en->on_term, SIGTERM, on_stop_signal);
+	watch_signal(en, &en->on_int, SIGINT, on_stop_signal);
+	watch_signal(en, &en->on_hup, SIGHUP, on_reload_signal);
+	ev_timer_init(&en->tick, on_tick, 0, (double)TICK_INTERVAL_MS / 1000);
 	en->tick.data = en;
 	ev_timer_start(en->loop, &en->tick);
 	ev_run(en->loop, 0);
-	close_all(en);
-	/* The process ends: what is left goes with it. */
+	close_listeners(en);
+	/* The process exits, so the remaining memory is not freed. */
 	return 0;
 }
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -1,16 +1,16 @@
-/* What comes back of a send: its answer, its end, and what is done next. */
+/* Endpoints' answers: passes them on to callers, or takes the next step. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "edge/edge_rollout.h"
 
-/* No new send with less time than this left. */
-#define MIN_TIME_MS 40
+/* A request is not sent again with less time than this left. */
+#define MIN_RETRY_TIME_MS 40
 
-/* Bytes of an answer that is not streamed. */
-#define MAX_ANSWER (16u << 20)
+/* Maximum body of an answer without a stream; data beyond it is dropped. */
+#define MAX_ANSWER_BYTES (16u << 20)
 
-/* ---- Bookkeeping of a send ---- */
+/* ---- End of a send ---- */
 
 void edge_prefill_done(struct edge_req *r)
 {
@@ -19,9 +19,9 @@
 }
 
 /*
- * The send under way is over, however it ended. A call that is still open is
- * cancelled: a stream whose run was stopped may be given up before it closed,
- * and its call would go on to a request that is gone.
+ * Cancels a call that is still in flight: a stream whose run was stopped may be
+ * abandoned before its connection closed, and the call would then refer to a
+ * request that was freed.
  */
 void edge_send_stop(struct edge_req *r)
 {
@@ -57,7 +57,8 @@
 	jlog_end(en->log);
 }
 
-static void count_run(struct edge_req *r, int64_t true_ms)
+/* Counts the run once in the account's usage. */
+static void count_usage(struct edge_req *r, int64_t true_ms)
 {
 	if (r->usage_counted || !r->account)
 		return;
@@ -65,16 +66,17 @@
 	edge_duty_count_run(r, true_ms);
 }
 
-/* ---- Steps ---- */
+/* ---- The next step ---- */
 
-/* Time and another endpoint for one more send? */
-static bool may_send_again(struct edge_req *r)
+/* True if time and the retry budget allow another send. */
+static bool may_retry(struct edge_req *r)
 {
-	return r->deadline_at_ms - edge_now(r->en) > MIN_TIME_MS &&
+	return r->deadline_at_ms - edge_now(r->en) > MIN_RETRY_TIME_MS &&
 	       (!r->sends_reached || edge_may_retry(r, false));
 }
 
-static void cut(struct edge_req *r, const char *why)
+/* Closes the caller's connection within an answer. */
+static void cut_answer(struct edge_req *r, const char *why)
 {
 	struct edge *en = r->en;
 	struct hsc *c = r->conn;
@@ -98,7 +100,7 @@
 		edge_send(r);
 		break;
 	case RQ_PASS:
-		break; /* the caller of rq_answered does that */
+		break; /* done by the caller of rq_answered */
 	case RQ_NOT_RUN:
 		edge_req_answer(r, 503, why, EDGE_FULL_RETRY_MS);
 		break;
@@ -111,7 +113,7 @@
 		edge_req_answer(r, 504, why, -1);
 		break;
 	case RQ_CUT:
-		cut(r, why);
+		cut_answer(r, why);
 		break;
 	case RQ_DROP:
 		edge_req_free(r);
@@ -119,51 +121,54 @@
 	}
 }
 
-static void tried(struct edge_req *r)
+/* Excludes the current endpoint from further sends of the request. */
+static void exclude_endpoint(struct edge_req *r)
 {
 	if (r->nr_tried == EDGE_MAX_EXCLUDED)
 		return;
-	/* Another endpoint in its memory must not count as tried. */
+	/* Keeps the memory from being reused for another endpoint. */
 	flt_ref(r->endpoint);
 	r->tried[r->nr_tried++] = r->endpoint;
 }
 
-static void not_run(struct edge_req *r, enum flt_outcome o, const char *why)
+/* Ends a send that the endpoint did not run. */
+static void end_not_run(struct edge_req *r, enum flt_outcome o, const char *why)
 {
 	met_inc(r->en->m.sends_not_run);
 	flt_note(r->endpoint, o, edge_now(r->en));
 	edge_log_send_ended(r, why, r->reply.status);
-	tried(r);
+	exclude_endpoint(r);
 	edge_send_stop(r);
 }
 
 void edge_send_not_run(struct edge_req *r, enum flt_outcome o, const char *why)
 {
-	not_run(r, o, why);
-	edge_step(r, rq_refused(&r->rq, may_send_again(r)), why);
+	end_not_run(r, o, why);
+	edge_step(r, rq_refused(&r->rq, may_retry(r)), why);
 }
 
 void edge_send_unreached(struct edge_req *r, const char *why)
 {
-	not_run(r, FLT_UNREACHABLE, why);
+	end_not_run(r, FLT_UNREACHABLE, why);
 	r->sends_reached--;
 	edge_retry_refund(r);
-	edge_step(r, rq_unreached(&r->rq, may_send_again(r)), why);
+	edge_step(r, rq_unreached(&r->rq, may_retry(r)), why);
 }
 
-static void lost(struct edge_req *r, enum flt_outcome o, const char *why)
+/* Ends a send whose outcome is unknown: the endpoint may have run it. */
+static void handle_lost(struct edge_req *r, enum flt_outcome o, const char *why)
 {
 	met_inc(r->en->m.sends_lost);
 	flt_note(r->endpoint, o, edge_now(r->en));
 	edge_log_send_ended(r, why, r->reply.status);
 	if (!r->streaming)
-		count_run(r, r->sent_true_ms);
-	tried(r);
+		count_usage(r, r->sent_true_ms);
+	exclude_endpoint(r);
 	edge_send_stop(r);
-	edge_step(r, rq_lost(&r->rq, may_send_again(r)), why);
+	edge_step(r, rq_lost(&r->rq, may_retry(r)), why);
 }
 
-/* ---- The answer ---- */
+/* ---- Answers ---- */
 
 static bool on_head(struct htc_call *call, const struct hmsg *m)
 {
@@ -181,7 +186,7 @@
 	buf_reset(&r->answer_body);
 	r->streaming = r->reply.events && r->reply.status / 100 == 2 &&
 		       r->reply.sealed && !r->reply.encoded;
-	/* Of a resumed stream the caller has the first endpoint's head. */
+	/* Of a resumed stream the caller already has the head. */
 	if (!r->streaming || !r->rq.started) {
 		buf_reset(&r->answer_head);
 		en->wire->encode_answer_head(m, &r->answer_head);
@@ -201,8 +206,8 @@
 	buf_free(&r->answer_head);
 }
 
-/* The longest pause between events, also across a resumption. */
-static void note_pause(struct edge_req *r)
+/* Measured across resumptions, as the caller sees it. */
+static void update_max_pause(struct edge_req *r)
 {
 	const int64_t now = edge_now(r->en);
 
@@ -232,14 +237,14 @@
 		if (r->prefill_tokens > 0)
 			edge_learn_first_event(r);
 		edge_prefill_done(r);
-		count_run(r, truth_now(&en->truth, edge_now(en)));
+		count_usage(r, truth_now(&en->truth, edge_now(en)));
 	}
-	note_pause(r);
+	update_max_pause(r);
 	if (!r->rq.started)
 		put_stream_head(r, &out);
 	hmsg_put_chunk(&out, events.data, events.len);
 	hsc_write(r->conn, out.data, out.len);
-	/* All events that the stopped run made are there: it goes on. */
+	/* All events of the stopped run were received: continue at the copy. */
 	if (hand_event(&r->hand, r->events.last_id) == HAND_CONTINUE)
 		edge_move_continue(r);
 }
@@ -252,7 +257,7 @@
 		pass_events(r, data, len);
 		return;
 	}
-	if (r->answer_body.len + len <= MAX_ANSWER)
+	if (r->answer_body.len + len <= MAX_ANSWER_BYTES)
 		buf_add(&r->answer_body, data, len);
 }
 
@@ -300,10 +305,11 @@
 }
 
 /*
- * A word that promises "not run", from an endpoint that does not say so of
- * this request: it may have run, and the caller must not read the promise.
+ * True for status codes from which a caller would conclude that the request did
+ * not run. Without the endpoint's explicit "not run" it may have run, so such a
+ * status must not be passed on.
  */
-static bool false_promise(const struct reply *p)
+static bool claims_not_run(const struct reply *p)
 {
 	return p->status == 408 || p->status == 421 || p->status == 429 ||
 	       p->status == 503;
@@ -336,7 +342,7 @@
 
 static void finish_answer(struct edge_req *r)
 {
-	/* The rest of a stream is a stream. */
+	/* A stream that has started can only be continued by a stream. */
 	const bool good = !r->rq.started && r->reply.status < 500;
 	struct edge *en = r->en;
 	enum rq_step step;
@@ -344,15 +350,15 @@
 	if (r->reply.status / 100 == 2 &&
 	    (!r->reply.sealed || !r->reply.echoed || r->reply.encoded)) {
 		edge_rollout_failed(r, false);
-		lost(r, FLT_FAILED, "answer without proof");
+		handle_lost(r, FLT_FAILED, "answer without proof");
 		return;
 	}
-	if (false_promise(&r->reply)) {
+	if (claims_not_run(&r->reply)) {
 		edge_rollout_failed(r, false);
-		lost(r, FLT_FAILED, "refusal that does not say not run");
+		handle_lost(r, FLT_FAILED, "refusal that does not say not run");
 		return;
 	}
-	count_run(r, r->sent_true_ms);
+	count_usage(r, r->sent_true_ms);
 	flt_note(r->endpoint, good ? FLT_GOOD : FLT_FAILED, edge_now(en));
 	if (good) {
 		edge_rollout_answered(r);
@@ -363,8 +369,8 @@
 	if (r->reply.status / 100 == 2 && good)
 		edge_fatal_answered(r);
 	edge_log_send_ended(r, good ? "answered" : "error", r->reply.status);
-	tried(r);
-	step = rq_answered(&r->rq, good, may_send_again(r));
+	exclude_endpoint(r);
+	step = rq_answered(&r->rq, good, may_retry(r));
 	if (step == RQ_PASS) {
 		pass_answer(r);
 		return;
@@ -373,21 +379,22 @@
 	edge_step(r, step, "endpoint failed");
 }
 
-/* True if the stream had been stopped for its copy, which takes over. */
-static bool handed_on(struct edge_req *r, enum hand_step step)
+/* True if the stream ended because of its migration, which goes on. */
+static bool migration_continues(struct edge_req *r, enum hand_step step)
 {
 	if (step == HAND_CONTINUE)
 		edge_move_continue(r);
 	return step == HAND_CONTINUE || step == HAND_WAIT;
 }
 
-static void broke(struct edge_req *r, const char *why, bool by_connection)
+static void handle_broken(struct edge_req *r, const char *why,
+			  bool by_connection)
 {
-	if (handed_on(r, hand_broke(&r->hand)))
+	if (migration_continues(r, hand_broke(&r->hand)))
 		return;
 	edge_rollout_failed(r, by_connection);
 	edge_fatal_send_broken(r);
-	lost(r, FLT_FAILED, why);
+	handle_lost(r, FLT_FAILED, why);
 }
 
 static void on_end(struct htc_call *call)
@@ -406,14 +413,14 @@
 		return;
 	}
 	if (evs_torn(&r->events))
-		broke(r, "stream ended within an event", true);
-	else if (!handed_on(r, hand_ended(&r->hand)))
+		handle_broken(r, "stream ended within an event", true);
+	else if (!migration_continues(r, hand_ended(&r->hand)))
 		finish_stream(r);
 }
 
 static void on_failed(struct htc_call *call, enum htc_failure why)
 {
-	static const char *const words[] = {
+	static const char *const reasons[] = {
 		[HTC_NOT_SENT] = "endpoint not reached",
 		[HTC_BROKEN] = "endpoint broke off",
 		[HTC_GARBLED] = "endpoint's answer is no HTTP",
@@ -423,9 +430,9 @@
 
 	r->call = NULL;
 	if (why == HTC_NOT_SENT)
-		edge_send_unreached(r, words[why]);
+		edge_send_unreached(r, reasons[why]);
 	else
-		broke(r, words[why], why == HTC_BROKEN);
+		handle_broken(r, reasons[why], why == HTC_BROKEN);
 }
 
 const struct htc_vtable edge_answer_vtable = { on_head, on_body, on_end,
@@ -433,7 +440,7 @@
 
 void edge_send_lost(struct edge_req *r, const char *why)
 {
-	lost(r, FLT_FAILED, why);
+	handle_lost(r, FLT_FAILED, why);
 }
 
 void edge_send_finished(struct edge_req *r)
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -1,6 +1,7 @@
 /*
- * Requests that end endpoints: what is held against a request, what is done
- * about it, and what is told and recorded of it.
+ * Quarantine of poison requests (fatal.h): feeds it with crashes and answers,
+ * withholds suspects, and shares what is known by gossip and by records in the
+ * store.
  */
 #include <assert.h>
 #include <stdio.h>
@@ -10,29 +11,33 @@
 #include "edge/edge_internal.h"
 
 /* Retry-After of a quarantined request. */
-#define NEVER_RETRY_MS 60000
+#define QUARANTINE_RETRY_MS 60000
 
 /* Retry-After while the suspect runs elsewhere: its outcome is known by then. */
 #define BUSY_RETRY_MS 300
 
 /* Batching delay of gossip about crashes, and its bound in a burst. */
-#define TELL_AFTER_MS 2
-#define TELL_GAP_MS 50
+#define GOSSIP_DELAY_MS 2
+#define MIN_GOSSIP_GAP_MS 50
 
-/* Delays until a record that is not in the store is written again. */
+/*
+ * A record that is not in the store is written again after the first time. The
+ * entry of watch rank 0 writes those of other entries after the second.
+ */
 #define RECORD_RETRY_MS 1000
-#define RECORD_LATER_MS 3000
+#define RECORD_FALLBACK_MS 3000
 
-/* Quarantine records read from the store at most. */
+/* Maximum number of quarantine records in the store. */
 #define MAX_RECORDS 256
 
-#define LOOK_AFTER_MS 1000
+/* Interval at which old suspects are removed. */
+#define EXPIRY_INTERVAL_MS 1000
 
-/* ---- Lines ---- */
+/* ---- Log ---- */
 
-static void log_news(struct edge *en, const struct fatal_row *row,
-		     enum jlog_level level, const char *what,
-		     const char *endpoint)
+static void log_suspect(struct edge *en, const struct fatal_row *row,
+			enum jlog_level level, const char *what,
+			const char *endpoint)
 {
 	jlog_begin(en->log, level, "request_suspect");
 	edge_log_content(en, row->content);
@@ -45,9 +50,9 @@
 	jlog_end(en->log);
 }
 
-/* ---- Telling others ---- */
+/* ---- Gossip timer ---- */
 
-static void on_tell(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_gossip_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct edge *en = t->data;
 
@@ -57,61 +62,63 @@
 	edge_peer_broadcast(en, en->fatal_gossip_ms);
 }
 
-static void tell_soon(struct edge *en)
+/* Schedules a broadcast; news that come until then go along. */
+static void gossip_soon(struct edge *en)
 {
-	int64_t wait = en->fatal_gossip_ms + TELL_GAP_MS - edge_now(en);
+	int64_t wait = en->fatal_gossip_ms + MIN_GOSSIP_GAP_MS - edge_now(en);
 
 	if (ev_is_active(&en->fatal_gossip_timer))
 		return;
-	if (wait < TELL_AFTER_MS)
-		wait = TELL_AFTER_MS;
+	if (wait < GOSSIP_DELAY_MS)
+		wait = GOSSIP_DELAY_MS;
 	ev_timer_set(&en->fatal_gossip_timer, (double)wait / 1000, 0);
 	ev_timer_start(en->loop, &en->fatal_gossip_timer);
 }
 
-/* ---- News ---- */
+/* ---- Changes of suspicion ---- */
 
 static void on_changed(void *arg, const struct fatal_row *row,
 		       enum fatal_news news, uint64_t endpoint)
 {
-	static const char *const words[] = {
+	static const char *const changes[] = {
 		[FATAL_SUSPECTED] = "suspected",
 		[FATAL_CONVICTED] = "convicted",
-		[FATAL_MORE] = "ended another",
+		[FATAL_MORE] = "crashed another endpoint",
 		[FATAL_EXPLAINED] = "explained",
 		[FATAL_CLEARED] = "cleared",
 	};
 	struct edge *en = arg;
 	const struct flt_endpoint *e = flt_by_hash(&en->fleet, endpoint);
 
-	/* What another entry saw stands in its own log. */
-	log_news(en, row,
-		 endpoint || news == FATAL_CONVICTED ? JLOG_WARN : JLOG_DEBUG,
-		 words[news], e ? e->info.id : "");
+	/* What another entry saw is a warning in the log of that entry only. */
+	log_suspect(en, row,
+		    endpoint || news == FATAL_CONVICTED ? JLOG_WARN
+							: JLOG_DEBUG,
+		    changes[news], e ? e->info.id : "");
 	if (news == FATAL_SUSPECTED)
 		met_inc(en->m.requests_suspected);
 	if (news == FATAL_CONVICTED) {
 		met_inc(en->m.requests_convicted);
-		/* Seen here and not heard: the record is ours to write. */
+		/* This entry saw the crash, so it writes the record. */
 		if (endpoint)
 			fatal_find(&en->fatal, row->content)->store_next_ms =
 				edge_now(en);
 	}
 	/*
-	 * Who saw it tells all. If those who hear it did so as well, one end
-	 * would cost as many datagrams as there are pairs of entries.
+	 * Only the entry that saw a crash broadcasts it. If receivers did as
+	 * well, one crash would cost a datagram for each pair of entries.
 	 */
 	if (!en->fatal_from_others)
-		tell_soon(en);
+		gossip_soon(en);
 }
 
-static const struct fatal_vtable vtable = { on_changed };
+static const struct fatal_vtable fatal_callbacks = { on_changed };
 
-/* ---- What others know ---- */
+/* ---- Gossip ---- */
 
-/* A request of this content that is at an endpoint; NULL: there is none. */
-static const struct edge_req *under_way(const struct edge *en,
-					struct hsh_wide content)
+/* A request with this content that was sent to an endpoint; NULL: none. */
+static const struct edge_req *find_in_flight(const struct edge *en,
+					     struct hsh_wide content)
 {
 	const struct edge_req *r;
 
@@ -122,9 +129,10 @@
 	return NULL;
 }
 
-static uint64_t run_at(void *arg, struct hsh_wide content)
+/* The endpoint that runs this content for us, as a hash; 0: none. */
+static uint64_t endpoint_of(void *arg, struct hsh_wide content)
 {
-	const struct edge_req *r = under_way(arg, content);
+	const struct edge_req *r = find_in_flight(arg, content);
 
 	return r ? r->endpoint->hash : 0;
 }
@@ -133,7 +141,7 @@
 			    int64_t now)
 {
 	out->nr_fatal = fatal_tell(&en->fatal, out->fatal, FATAL_MAX_TOLD,
-				   &en->nr_fatal_news, run_at, en, now);
+				   &en->nr_fatal_news, endpoint_of, en, now);
 }
 
 void edge_fatal_apply_gossip(struct edge *en, const struct gsp_record *r,
@@ -148,9 +156,9 @@
 	edge_fatal_mark_endpoints(en);
 }
 
-/* ---- Endpoints where a suspect runs ---- */
+/* ---- Endpoints that run suspects ---- */
 
-static void mark(struct edge *en, uint64_t endpoint)
+static void add_suspect(struct edge *en, uint64_t endpoint)
 {
 	struct flt_endpoint *e = flt_by_hash(&en->fleet, endpoint);
 
@@ -172,15 +180,15 @@
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
 		if (fatal_count(row) < FATAL_STRONG_ENDS)
 			continue;
-		mark(en, run_at(en, row->content));
+		add_suspect(en, endpoint_of(en, row->content));
 		for (i = 0; i < row->nr_runs; i++)
-			mark(en, row->runs[i].endpoint);
+			add_suspect(en, row->runs[i].endpoint);
 	}
 }
 
-/* ---- A request is to be sent ---- */
+/* ---- Before a send ---- */
 
-/* What ran before is lost; if nothing did, it was not run, and will not be. */
+/* Ends a request that is not sent (again); 503 if it never ran. */
 static void give_up(struct edge_req *r, const char *why, int64_t retry_ms)
 {
 	const bool ran = r->rq.runs || r->rq.started;
@@ -196,15 +204,15 @@
 bool edge_fatal_may_send(struct edge_req *r)
 {
 	struct edge *en = r->en;
-	bool again;
+	bool duplicate;
 
 	r->isolated = false;
-	/* Of nearly all nothing is known: they cost a look into a table. */
+	/* Fast path: nearly all requests are unknown to the table. */
 	if (!fatal_find(&en->fatal, r->content))
 		return true;
-	/* Not itself: it is at no endpoint before it is sent. */
-	again = under_way(en, r->content) != NULL;
-	switch (fatal_ask(&en->fatal, r->content, again, edge_now(en))) {
+	/* Never `r` itself, which has no endpoint before it is sent. */
+	duplicate = find_in_flight(en, r->content) != NULL;
+	switch (fatal_ask(&en->fatal, r->content, duplicate, edge_now(en))) {
 	case FATAL_FREE:
 		return true;
 	case FATAL_APART:
@@ -219,13 +227,14 @@
 			BUSY_RETRY_MS);
 		return false;
 	case FATAL_NEVER:
-		give_up(r, "ends the endpoints that run it", NEVER_RETRY_MS);
+		give_up(r, "ends the endpoints that run it",
+			QUARANTINE_RETRY_MS);
 		return false;
 	}
 	return true;
 }
 
-/* An endpoint that was looked at is known: who waited for that goes on. */
+/* A probe ended: sends the requests that waited for one. */
 static void release_parked(struct edge *en)
 {
 	struct edge_req *r, *next;
@@ -240,7 +249,7 @@
 	}
 }
 
-/* ---- What became of it ---- */
+/* ---- After a send ---- */
 
 void edge_fatal_send_broken(struct edge_req *r)
 {
@@ -249,7 +258,7 @@
 	const int64_t now = edge_now(en);
 	struct fatal_row *row;
 
-	/* An announced end takes what is left with it: nothing is to blame. */
+	/* The endpoint was leaving: no request is suspected. */
 	if (flt_leaving_for(e, now) >= 0 && !e->ended)
 		return;
 	row = fatal_broke(&en->fatal, r->content, e->hash, now - r->sent_ms,
@@ -301,10 +310,10 @@
 	if (!r->isolated)
 		return;
 	edge_fatal_mark_endpoints(r->en);
-	/* Others wait for a strong suspect, and keep away from where it is. */
+	/* Other entries delay a strong suspect, and avoid its endpoint. */
 	row = fatal_find(&r->en->fatal, r->content);
 	if (row && fatal_count(row) >= FATAL_STRONG_ENDS)
-		tell_soon(r->en);
+		gossip_soon(r->en);
 }
 
 void edge_fatal_stopped(struct edge_req *r)
@@ -312,7 +321,7 @@
 	const int64_t now = edge_now(r->en);
 
 	fatal_ran(&r->en->fatal, now - r->sent_ms, now);
-	/* Others may wait for it to be over. */
+	/* Other entries may wait for the end of the send. */
 	edge_fatal_sent(r);
 }
 
@@ -357,8 +366,12 @@
 	sto_call(en->store, &c, sto_no_matter, NULL);
 }
 
-static bool to_be_written(const struct edge *en, const struct fatal_row *row,
-			  int64_t now)
+/*
+ * True if this entry should write the record now: it convicted the request, or
+ * has watch rank 0 and the record is missing or was lost.
+ */
+static bool should_write(const struct edge *en, const struct fatal_row *row,
+			 int64_t now)
 {
 	if (!fatal_is_convicted(row) || (row->stored_true_ms && !row->lost))
 		return false;
@@ -366,10 +379,12 @@
 		return en->watch_rank == 0 && now >= row->store_next_ms;
 	if (row->store_next_ms)
 		return now >= row->store_next_ms;
-	return en->watch_rank == 0 && now - row->changed_ms > RECORD_LATER_MS;
+	return en->watch_rank == 0 &&
+	       now - row->changed_ms > RECORD_FALLBACK_MS;
 }
 
-static void keep_records(struct edge *en, int64_t now)
+/* Writes missing records, and deletes those older than FATAL_KEEP_MS. */
+static void maintain_records(struct edge *en, int64_t now)
 {
 	const int64_t true_now = truth_now(&en->truth, now);
 	struct fatal_row *row;
@@ -377,7 +392,7 @@
 
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
 		recorded += row->stored_true_ms != 0;
-		if (to_be_written(en, row, now) && recorded < MAX_RECORDS) {
+		if (should_write(en, row, now) && recorded < MAX_RECORDS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
 			write_record(en, row, now);
 		} else if (row->stored_true_ms && en->watch_rank == 0 &&
@@ -396,10 +411,10 @@
 	struct hsh_wide content;
 
 	if (!o || !hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content)) {
-		edge_log_unreadable(en, key, "no record of a request");
+		edge_log_unreadable(en, key, "not a quarantine record");
 		return;
 	}
-	en->fatal_from_others = true; /* all watch the store */
+	en->fatal_from_others = true; /* all entries read the store */
 	fatal_recorded(&en->fatal, content, jsn_int(o, "at_ms", 0),
 		       edge_now(en));
 	en->fatal_from_others = false;
@@ -424,13 +439,13 @@
 	en->fatal_from_others = false;
 }
 
-/* ---- Life ---- */
+/* ---- Start and periodic work ---- */
 
 void edge_fatal_open(struct edge *en)
 {
-	fatal_init(&en->fatal, &vtable, en);
+	fatal_init(&en->fatal, &fatal_callbacks, en);
 	CDS_INIT_LIST_HEAD(&en->parked);
-	ev_timer_init(&en->fatal_gossip_timer, on_tell, 0, 0);
+	ev_timer_init(&en->fatal_gossip_timer, on_gossip_timer, 0, 0);
 	en->fatal_gossip_timer.data = en;
 }
 
@@ -438,8 +453,8 @@
 {
 	if (!en->fatal.count)
 		return;
-	keep_records(en, now);
-	if (now - en->fatal_expiry_ms < LOOK_AFTER_MS)
+	maintain_records(en, now);
+	if (now - en->fatal_expiry_ms < EXPIRY_INTERVAL_MS)
 		return;
 	en->fatal_expiry_ms = now;
 	fatal_expire(&en->fatal, now);
--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -1,4 +1,4 @@
-/* What answers show of the endpoints: samples for the services' models. */
+/* Fits the services' latency models (svc.h) to endpoints' answers. */
 #include <assert.h>
 #include <math.h>
 #include <stdlib.h>
@@ -21,7 +21,8 @@
 	return s;
 }
 
-static void log_moved(struct edge *en, struct svc *s)
+/* Logs the model if it changed considerably since the last line. */
+static void log_model_change(struct edge *en, struct svc *s)
 {
 	if (!svc_moved(s))
 		return;
@@ -35,14 +36,14 @@
 	jlog_end(en->log);
 }
 
-static void note_error(struct edge_req *r, double took_ms)
+static void observe_error(struct edge_req *r, double took_ms)
 {
 	met_observe(r->en->m.prediction_error_ms,
 		    (int64_t)fabs(took_ms - r->predicted_ms));
 }
 
-/* A version on trial may be rolled back, so the model does not learn from it. */
-static bool learns(const struct edge_req *r)
+/* Excludes versions on trial, which may be rolled back. */
+static bool may_learn(const struct edge_req *r)
 {
 	return r->en->conf->policy.learn && r->endpoint->use == FLT_IN_USE;
 }
@@ -51,14 +52,14 @@
 {
 	const double took = (double)(edge_now(r->en) - r->sent_ms);
 
-	/* From a copy nothing is read, and a resumed run reads its events. */
+	/* A copy has no prefill; a resumed run prefills its events as well. */
 	if (r->rq.at_copy || r->rq.started)
 		return;
-	note_error(r, took);
-	if (!learns(r))
+	observe_error(r, took);
+	if (!may_learn(r))
 		return;
 	svc_first_seen(r->model, &r->endpoint_state, took, r->prefill_known);
-	log_moved(r->en, r->model);
+	log_model_change(r->en, r->model);
 }
 
 void edge_learn_completed(struct edge_req *r)
@@ -67,10 +68,10 @@
 	const double took = (double)(now - r->sent_ms);
 
 	if (!r->streaming)
-		note_error(r, took);
-	if (!learns(r))
+		observe_error(r, took);
+	if (!may_learn(r))
 		return;
-	/* Of a resumed stream the first part ran elsewhere. */
+	/* The first part of a resumed stream ran at another endpoint. */
 	if (r->streaming && r->sends > 1)
 		return;
 	if (r->streaming && r->events.events > 1)
@@ -78,5 +79,5 @@
 			      (double)(now - r->first_event_ms) /
 				      (double)(r->events.events - 1));
 	svc_run_seen(r->model, &r->endpoint_state, took);
-	log_moved(r->en, r->model);
+	log_model_change(r->en, r->model);
 }
--- a/lib/edge/edge_lookup.c
+++ b/lib/edge/edge_lookup.c
@@ -1,13 +1,13 @@
-/* Look-ups: which addresses callers should use; and the readiness check. */
+/* Look-ups of the entries' addresses by callers, and readiness checks. */
 #include <string.h>
 
 #include "edge/edge_internal.h"
 
-/* Addresses in one answer. */
+/* Maximum number of addresses in an answer. */
 #define MAX_ADDRESSES 64
 
-/* Callers keep an answer so long; shorter answers mean more look-ups. */
-#define LIST_TTL_S 2.0
+/* Maximum TTL of an answer; a shorter one causes more look-ups. */
+#define MAX_TTL_S 2.0
 
 bool edge_is_ready(const struct edge *en)
 {
@@ -20,14 +20,14 @@
 	       force_age(&en->force, now) < (int64_t)en->conf->bounds.revoke_ms;
 }
 
-static void look_up(struct edge *en, struct buf *out)
+static void answer_lookup(struct edge *en, struct buf *out)
 {
 	const char *addresses[MAX_ADDRESSES];
 	const size_t n =
 		edge_advertised(en, addresses, MAX_ADDRESSES, edge_now(en));
-	const double ttl = en->conf->list_ttl_s < LIST_TTL_S
+	const double ttl = en->conf->list_ttl_s < MAX_TTL_S
 				   ? en->conf->list_ttl_s
-				   : LIST_TTL_S;
+				   : MAX_TTL_S;
 
 	if (n)
 		en->wire->encode_lookup_answer(addresses, n, ttl, out);
@@ -43,7 +43,7 @@
 	BUF_AUTO out = BUF_INIT;
 
 	if (en->wire->is_lookup(m))
-		look_up(en, &out);
+		answer_lookup(en, &out);
 	else if (en->wire->is_ready_check(m))
 		en->wire->encode_own_answer(edge_is_ready(en) ? 200 : 503, NULL,
 					    "not ready", -1, false, &out);
@@ -56,10 +56,10 @@
 
 static void on_gone(struct hsc *c)
 {
-	(void)c; /* answers are written at once: nothing is under way */
+	(void)c; /* answers are written at once, so none is in progress */
 }
 
-static void on_fault(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void on_malformed(struct hsc *c, enum hsc_fault f, struct buf *out)
 {
 	struct edge *en = c->server->owner;
 
@@ -68,7 +68,7 @@
 				    out);
 }
 
-static void limits(struct hsc_server *s, struct hsc_limits *out)
+static void get_limits(struct hsc_server *s, struct hsc_limits *out)
 {
 	(void)s;
 	*out = (struct hsc_limits){
@@ -83,6 +83,6 @@
 const struct hsc_vtable edge_lookup_vtable = {
 	.request = on_request,
 	.gone = on_gone,
-	.fault = on_fault,
-	.limits = limits,
+	.fault = on_malformed,
+	.limits = get_limits,
 };
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -1,4 +1,7 @@
-/* Streams on endpoints that leave: handed to others with their memory. */
+/*
+ * Migrates streams off endpoints that leave: the endpoint stops the run and
+ * copies its KV cache to another one, where the stream continues (hand.h).
+ */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,21 +9,22 @@
 #include "edge/edge_internal.h"
 
 /*
- * A reclaimed endpoint was seen to go from 0.5 s after we knew of it. Some
- * streams end within this time by themselves; what is left has the rest for
- * its copy, which takes 7 to 13 ms for a prompt of 17,000 tokens, one after
- * the other.
+ * Delay from the notice that an endpoint leaves to the migration of its
+ * streams. Some streams end within this time by themselves. The earliest
+ * reclaim was seen 0.5 s after the notice, which leaves the remaining time for
+ * the copies: 7 to 13 ms each for a prompt of 17,000 tokens, one by one.
  */
-#define MOVE_AFTER_MS 250
+#define MOVE_DELAY_MS 250
 
-/* A copy that takes longer comes too late: the endpoint is gone by then. */
-#define MOVE_CALL_MS 900
+/* Timeout of the call: after that the endpoint is gone anyway. */
+#define MOVE_CALL_TIMEOUT_MS 900
 
+/* The migration of one stream. */
 struct edge_move {
 	struct edge_req *r;
-	struct flt_endpoint *to; /* holds the copy once it is granted */
+	struct flt_endpoint *to; /* the target; referenced */
 	struct htc_call *call;
-	int status;
+	int status; /* of the answer; 0: none */
 	struct buf body;
 	struct wire_move_result moved;
 };
@@ -56,15 +60,15 @@
 	free(m);
 }
 
-/* ---- The answer ---- */
+/* ---- Answer of the endpoint ---- */
 
 void edge_move_continue(struct edge_req *r)
 {
 	edge_send_moved(r, r->move->to, r->move->moved.handle);
 }
 
-/* The stream goes on without the copy, or ends without it. */
-static void refused(struct edge_move *m, const char *why)
+/* No copy was made: the stream goes on where it is, or ends. */
+static void move_failed(struct edge_move *m, const char *why)
 {
 	struct edge_req *r = m->r;
 
@@ -108,12 +112,12 @@
 
 	m->call = NULL;
 	if (m->status != 200) {
-		refused(m, "refused");
+		move_failed(m, "refused");
 		return;
 	}
 	if (r->en->wire->decode_move_result(buf_cstr(&m->body), m->body.len,
 					    &m->moved, &e)) {
-		refused(m, e.text);
+		move_failed(m, e.text);
 		return;
 	}
 	met_inc(r->en->m.moves);
@@ -128,15 +132,16 @@
 	struct edge_move *m = htc_owner(call);
 
 	m->call = NULL;
-	refused(m, why == HTC_NOT_SENT ? "endpoint not reached" : "no answer");
+	move_failed(m,
+		    why == HTC_NOT_SENT ? "endpoint not reached" : "no answer");
 }
 
 static const struct htc_vtable move_vtable = { on_head, on_body, on_end,
 					       on_failed };
 
-/* ---- The call ---- */
+/* ---- Start ---- */
 
-static struct flt_endpoint *target_for(struct edge_req *r)
+static struct flt_endpoint *pick_target(struct edge_req *r)
 {
 	struct edge *en = r->en;
 	struct pick_query q = {
@@ -153,14 +158,14 @@
 	return pick_endpoint(&en->fleet, &q).endpoint;
 }
 
-static void start(struct edge_req *r)
+static void start_move(struct edge_req *r)
 {
-	struct flt_endpoint *to = target_for(r);
+	struct flt_endpoint *to = pick_target(r);
 	struct htc_peer *from = r->endpoint->link;
 	struct buf wire = BUF_INIT;
 	struct edge_move *m;
 
-	/* A run is not stopped that could not be sent once more. */
+	/* Charged as a retry: without a budget the run is not stopped. */
 	if (!to || !from || !edge_may_retry(r, true))
 		return;
 	m = calloc(1, sizeof(*m));
@@ -168,17 +173,17 @@
 	m->r = r;
 	m->to = to;
 	flt_ref(to);
-	/* The next target is chosen with this one in mind. */
+	/* So that the next pick takes this stream into account. */
 	to->running++;
 	r->move = m;
 	hand_asked(&r->hand);
 	r->en->wire->encode_move(r->attempt.id, to->info.address, &wire);
-	m->call =
-		htc_start(from, &wire, 0, false, MOVE_CALL_MS, &move_vtable, m);
+	m->call = htc_start(from, &wire, 0, false, MOVE_CALL_TIMEOUT_MS,
+			    &move_vtable, m);
 	if (m->call)
 		return;
 	buf_free(&wire);
-	refused(m, "no connection to be had");
+	move_failed(m, "no connection to be had");
 }
 
 static bool should_move(const struct edge_req *r, int64_t now)
@@ -188,7 +193,7 @@
 	if (!e || !r->call || !r->streaming || !r->rq.started ||
 	    r->hand.state != HAND_NONE || !r->service->engine.moves)
 		return false;
-	return flt_leaving_for(e, now) >= MOVE_AFTER_MS;
+	return flt_leaving_for(e, now) >= MOVE_DELAY_MS;
 }
 
 void edge_move_tick(struct edge *en, int64_t now)
@@ -199,6 +204,6 @@
 		return;
 	cds_list_for_each_entry_safe(r, next, &en->requests, node) {
 		if (should_move(r, now))
-			start(r);
+			start_move(r);
 	}
 }
--- a/lib/edge/edge_peer_http.c
+++ b/lib/edge/edge_peer_http.c
@@ -1,6 +1,8 @@
-/* The internal listener: an entry that is cut off from the store reaches it
- * through another one, entries that do not watch the store follow one that
- * does, and the metrics are served. */
+/*
+ * HTTP server for other entries: relays calls to the store for entries that
+ * cannot reach it, serves changes to entries that follow the watches of this
+ * one (followers), and serves the metrics.
+ */
 #include <assert.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,17 +10,17 @@
 
 #include "edge/edge_internal.h"
 
-/* ---- Calls that are handed on to the store ---- */
+/* ---- Calls relayed to the store ---- */
 
-/* A call that is handed on; `conn` is NULL once the asker left. */
-struct relayed {
-	struct hsc *conn;
+/* A call in flight to the store. */
+struct relayed_call {
+	struct hsc *conn; /* NULL: the peer has disconnected */
 };
 
-static void on_relayed(void *arg, int status, int64_t era, const char *body,
-		       size_t len, bool sent)
+static void on_relay_answer(void *arg, int status, int64_t era,
+			    const char *body, size_t len, bool sent)
 {
-	struct relayed *r = arg;
+	struct relayed_call *r = arg;
 	struct hsc *c = r->conn;
 	const struct edge *en;
 	BUF_AUTO out = BUF_INIT;
@@ -28,7 +30,7 @@
 		return;
 	c->request = NULL;
 	en = c->server->owner;
-	/* No answer, but it may have been done: nothing may be promised. */
+	/* The call may have been executed: no status would be true. */
 	if (!status && sent) {
 		hsc_cut(c);
 		return;
@@ -46,7 +48,7 @@
 static void relay(struct edge *en, struct hsc *c)
 {
 	const struct hmsg *m = &c->parse.msg;
-	struct relayed *r = calloc(1, sizeof(*r));
+	struct relayed_call *r = calloc(1, sizeof(*r));
 	struct buf wire = BUF_INIT;
 
 	assert(r);
@@ -61,22 +63,24 @@
 	r->conn = c;
 	c->request = r;
 	met_inc(en->m.store_relayed);
-	sto_relay(en->store, &wire, on_relayed, r);
+	sto_relay(en->store, &wire, on_relay_answer, r);
 }
 
-/* ---- Entries that follow our watch ---- */
+/* ---- Followers ---- */
 
-/* An answer without changes. */
-#define NOTHING_NEW "{\"events\":[],\"currentRev\":%lld}"
+/* The answer of a watch that saw no change. */
+#define NO_CHANGES "{\"events\":[],\"currentRev\":%lld}"
 
+/* A follower's call that waits for changes, or for a configuration. */
 struct edge_follower {
 	struct cds_list_head node; /* in edge.followers */
 	struct hsc *conn;
-	struct edge_watch *watch; /* which it follows; NULL: a version */
-	int64_t after;		  /* revision, or the version it wants */
-	int64_t until_ms;
+	struct edge_watch *watch; /* NULL: waits for a configuration */
+	int64_t after;	  /* changes after this version; or the version */
+	int64_t until_ms; /* end of the wait */
 };
 
+/* Sends the answer and frees the follower. */
 static void answer_follower(struct edge_follower *f, int status,
 			    const char *body, size_t len)
 {
@@ -97,8 +101,8 @@
 	hsc_done(c, false);
 }
 
-/* An entry that wants a version of the configuration. */
-static void try_version(struct edge *en, struct edge_follower *f, int64_t now)
+/* Answers with the configuration, or with 404 after the wait. */
+static void try_config(struct edge *en, struct edge_follower *f, int64_t now)
 {
 	const struct buf *body = &en->config_copy.body;
 
@@ -110,21 +114,21 @@
 		answer_follower(f, 404, "", 0);
 }
 
-/* Answers the follower if there is something to say, or its time is over. */
-static void try_follower(struct edge_follower *f, int64_t now)
+/* Answers with changes, with none after the wait, or with an error. */
+static void try_watch(struct edge_follower *f, int64_t now)
 {
 	const int64_t upto = f->watch->feed.upto;
 	const struct feed_part *part;
-	char nothing[64];
+	char no_changes[64];
 
 	if (!edge_watch_is_current(f->watch, now)) {
 		answer_follower(f, 503, "", 0);
 		return;
 	}
 	/*
-	 * We follow another entry ourselves: who waits here would learn late,
-	 * and by a feed that stands still learn nothing. What we have of
-	 * another era of the store than the asker says nothing either.
+	 * This entry follows another one itself: its changes would reach the
+	 * follower late, or not at all if that feed is stuck. Changes of
+	 * another era of the store are of no use to the follower either.
 	 */
 	if (f->watch->following || ver_era(f->after) != f->watch->era) {
 		answer_follower(f, 404, "", 0);
@@ -132,7 +136,7 @@
 	}
 	switch (feed_after(&f->watch->feed, f->after, &part)) {
 	case FEED_GAP:
-		/* What it lacks is not here: it asks the store once. */
+		/* The changes are not kept here: it asks the store once. */
 		answer_follower(f, 404, "", 0);
 		return;
 	case FEED_PART:
@@ -143,22 +147,23 @@
 	}
 	if (now < f->until_ms)
 		return;
-	/* "Nothing new" is for the store to say, since we watch it again. */
+	/* Only a watch answered by the store itself proves "no changes". */
 	if (!f->watch->from_store) {
 		answer_follower(f, 404, "", 0);
 		return;
 	}
-	snprintf(nothing, sizeof(nothing), NOTHING_NEW,
+	snprintf(no_changes, sizeof(no_changes), NO_CHANGES,
 		 (long long)ver_revision(upto > f->after ? upto : f->after));
-	answer_follower(f, 200, nothing, strlen(nothing));
+	answer_follower(f, 200, no_changes, strlen(no_changes));
 }
 
+/* Answers the follower if there is news or its wait is over. */
 static void try_answer(struct edge *en, struct edge_follower *f, int64_t now)
 {
 	if (f->watch)
-		try_follower(f, now);
+		try_watch(f, now);
 	else
-		try_version(en, f, now);
+		try_config(en, f, now);
 }
 
 void edge_serve_followers(struct edge *en, int64_t now)
@@ -197,7 +202,7 @@
 	return NULL;
 }
 
-/* ---- The internal listener ---- */
+/* ---- Requests ---- */
 
 static void serve_metrics(struct edge *en, struct hsc *c)
 {
@@ -234,10 +239,10 @@
 		relay(en, c);
 }
 
-static void on_gone(struct hsc *c)
+static void on_peer_gone(struct hsc *c)
 {
 	struct edge_follower *f = find_follower(c->server->owner, c);
-	struct relayed *r = c->request;
+	struct relayed_call *r = c->request;
 
 	if (f) {
 		cds_list_del(&f->node);
@@ -247,7 +252,7 @@
 	}
 }
 
-static void on_fault(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void on_malformed(struct hsc *c, enum hsc_fault f, struct buf *out)
 {
 	(void)c;
 	(void)f;
@@ -256,7 +261,7 @@
 	hmsg_put_end(out);
 }
 
-static void limits(struct hsc_server *s, struct hsc_limits *out)
+static void get_limits(struct hsc_server *s, struct hsc_limits *out)
 {
 	(void)s;
 	*out = (struct hsc_limits){
@@ -270,7 +275,7 @@
 
 const struct hsc_vtable edge_peer_http_vtable = {
 	.request = on_request,
-	.gone = on_gone,
-	.fault = on_fault,
-	.limits = limits,
+	.gone = on_peer_gone,
+	.fault = on_malformed,
+	.limits = get_limits,
 };
--- a/lib/edge/edge_probe.c
+++ b/lib/edge/edge_probe.c
@@ -1,11 +1,11 @@
 /*
- * Whether an endpoint is still there after a send to it broke off.
+ * Probes an endpoint after a send to it broke off.
  *
- * A broken connection says little: connections are reset, answers get lost,
- * and an endpoint that ended looks the same to the request that it took with
- * it. The next connection tells them apart: it is taken, or the endpoint's
- * machine answers that nobody listens. It is kept for the next request, so
- * looking costs nothing where the endpoint lives.
+ * A broken connection alone does not show a crash: connections are reset and
+ * answers get lost, which looks the same as a crash to the request. A new
+ * connection distinguishes them: it is accepted, or refused because no process
+ * listens. The connection is kept for the next request, so probing a live
+ * endpoint costs nothing.
  */
 #include <assert.h>
 #include <stdlib.h>
@@ -15,12 +15,12 @@
 struct probe {
 	struct edge *en;
 	struct flt_endpoint *e;
-	int64_t since_ms;
+	int64_t since_ms; /* when it was started */
 };
 
 static void on_probed(void *arg, enum htc_found found)
 {
-	static const char *const words[] = {
+	static const char *const results[] = {
 		[HTC_THERE] = "there",
 		[HTC_NOBODY] = "ended",
 		[HTC_SILENT] = "silent",
@@ -32,7 +32,7 @@
 	jlog_begin(en->log, JLOG_INFO, "endpoint_probed");
 	jlog_str(en->log, "endpoint", e->info.id);
 	jlog_str(en->log, "service", e->info.service);
-	jlog_str(en->log, "found", words[found]);
+	jlog_str(en->log, "found", results[found]);
 	jlog_int(en->log, "took_ms", edge_now(en) - p->since_ms);
 	jlog_int(en->log, "list_age_ms", edge_list_age(en, edge_now(en)));
 	jlog_end(en->log);
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -1,4 +1,7 @@
-/* Admission: what may run, under which configuration, and what is told. */
+/*
+ * Admission of callers' requests: configuration, keys, account limits and retry
+ * budgets; and the responses of the entry itself.
+ */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,39 +10,38 @@
 #include "edge/edge_rollout.h"
 
 /*
- * A key or route that we do not know is refused only if the configuration was
- * the newest at some moment since the bound on changes less this before the
- * request came: a change that the caller may count on was accepted earlier.
- * The margin is for timers that fire late. With a fixed second instead of the
- * bound, 84 entries read the configuration some 1,500 times in 50 s for 1,500
- * requests without a route.
+ * A request with an unknown key or route is refused only if the configuration
+ * was confirmed as the newest within bounds.apply_ms, less this margin, before
+ * the request arrived: any change that the caller may rely on was accepted
+ * earlier. The margin covers timers that fire late. With a fixed second instead
+ * of the bound, 84 entries read the configuration about 1,500 times in 50 s for
+ * 1,500 requests without a route.
  */
 #define VERIFY_MARGIN_MS 300
 
-/* A request waits so long for that reading, then it is told to come back. */
+/* Maximum wait of a request for a check of the configuration; then 503. */
 #define VERIFY_WAIT_MS 900
 
-/* Of the bound on revoked keys, what is left for the way to an endpoint. */
+/* The part of bounds.revoke_ms that sending to an endpoint may take. */
 #define REVOKE_MARGIN_MS 500
 
-/* The answer to a timed-out request leaves so long after its time. */
-#define TIME_UP_GRACE_MS 30
+/* Time from a request's deadline to the timeout response. */
+#define DEADLINE_GRACE_MS 30
 
-/* A caller that states no deadline and has a route without a time-out. */
-#define DEFAULT_TIME_MS 30000
+/* Timeout of a request without a deadline on a route without a timeout. */
+#define DEFAULT_TIMEOUT_MS 30000
 
 /*
- * When to come back: after a refresh of the configuration; after the store's
- * return, of which nobody knows the time; when endpoints are full, about the
- * time in which one request ends.
+ * Retry-After. The first covers a refresh of the configuration. The second is
+ * for waits of unknown length, such as until the store is reachable again.
  */
-#define COME_BACK_SOON_MS 300
-#define COME_BACK_LATER_MS 1000
+#define RETRY_SOON_MS 300
+#define RETRY_LATER_MS 1000
 
-/* After SIGTERM new requests are served for so long. */
-#define SERVE_ON_MS 3000
+/* New requests are accepted for this long after SIGTERM. */
+#define ACCEPT_AFTER_STOP_MS 3000
 
-/* ---- The end of a request ---- */
+/* ---- End of a request ---- */
 
 void edge_req_free(struct edge_req *r)
 {
@@ -62,6 +64,7 @@
 	free(r);
 }
 
+/* Refunds the account's limit, unless the request may have run. */
 static void refund(struct edge_req *r)
 {
 	if (!r->charged || !r->account || r->rq.runs || r->rq.sending)
@@ -72,7 +75,7 @@
 	r->charged = 0;
 }
 
-static void count_answer(struct edge *en, int status)
+static void count_own_answer(struct edge *en, int status)
 {
 	if (status == 503 || status == 429)
 		met_inc(en->m.answers_refused);
@@ -91,7 +94,7 @@
 	BUF_AUTO out = BUF_INIT;
 
 	refund(r);
-	count_answer(en, status);
+	count_own_answer(en, status);
 	jlog_begin(en->log, JLOG_INFO, "answer");
 	jlog_str(en->log, "id", r->attempt.id);
 	jlog_int(en->log, "status", status);
@@ -121,20 +124,21 @@
 /* ---- Admission ---- */
 
 /*
- * Waits for a reading of the configuration, if one may come: while the store
- * is known to be away the answer is given at once.
+ * Queues the request until the configuration has been checked, and starts a
+ * check. Responds with 503 and `why` at once if it was checked before, or if
+ * a configuration is in force and the store is unreachable.
  */
-static void wait_verified(struct edge_req *r, const char *otherwise)
+static void wait_for_config(struct edge_req *r, const char *why)
 {
 	struct edge *en = r->en;
 
 	if (r->config_checked || (en->force.cfg && !sto_reachable(en->store))) {
-		edge_req_answer(r, 503, otherwise, COME_BACK_LATER_MS);
+		edge_req_answer(r, 503, why, RETRY_LATER_MS);
 		return;
 	}
 	jlog_begin(en->log, JLOG_INFO, "confirming");
 	jlog_str(en->log, "id", r->attempt.id);
-	jlog_str(en->log, "else", otherwise);
+	jlog_str(en->log, "else", why);
 	jlog_int(en->log, "config_age_ms", force_age(&en->force, edge_now(en)));
 	jlog_end(en->log);
 	r->awaiting_config = true;
@@ -145,8 +149,8 @@
 	edge_config_tick(en, edge_now(en));
 }
 
-/* True if the configuration was the newest shortly before the request. */
-static bool verified(const struct edge_req *r)
+/* True if the configuration was confirmed recently enough for a refusal. */
+static bool config_confirmed(const struct edge_req *r)
 {
 	const struct force *f = &r->en->force;
 
@@ -157,18 +161,20 @@
 }
 
 /*
- * The configuration does not allow the request. Says so only if it is the
- * newest one, so that a key or route which was just added is not refused.
+ * Refuses a request that the configuration does not allow. Unless the
+ * configuration is known to be the newest, it is checked first: the key or
+ * route may just have been added.
  */
 static void deny(struct edge_req *r, int status, const char *why)
 {
-	if (verified(r))
+	if (config_confirmed(r))
 		edge_req_answer(r, status, why, -1);
 	else
-		wait_verified(r, "configuration not confirmed");
+		wait_for_config(r, "configuration not confirmed");
 }
 
-static bool key_covered(const struct edge_req *r)
+/* True if the keys were confirmed recently enough (bounds.revoke_ms). */
+static bool key_confirmed(const struct edge_req *r)
 {
 	const struct conf *conf = r->en->conf;
 
@@ -178,6 +184,7 @@
 			    (int)conf->bounds.revoke_ms - REVOKE_MARGIN_MS);
 }
 
+/* False if the route needs an account and the request's key is unknown. */
 static bool find_account(struct edge_req *r)
 {
 	if (!r->cfg->nr_accounts || r->route->anonymous)
@@ -188,10 +195,10 @@
 }
 
 /*
- * What an attempt has in common with others that ask the same: callers come
- * again under a new id, at any entry.
+ * Hashes what all attempts of the same request have in common: callers retry
+ * under a new id, and at any entry.
  */
-static void identify(struct edge_req *r)
+static void hash_content(struct edge_req *r)
 {
 	const struct hmsg *m = &r->conn->parse.msg;
 	const struct buf *body = &r->conn->body;
@@ -203,6 +210,7 @@
 				   hsh_wide(buf_cstr(body), body->len));
 }
 
+/* What the request costs of its account's limit: requests or tokens. */
 static double charge_of(const struct edge_req *r)
 {
 	if (!r->account->by_tokens)
@@ -212,7 +220,7 @@
 	return r->attempt.prompt_tokens + r->attempt.output_tokens;
 }
 
-/* What decided that a request is over its account's limit here. */
+/* Logs the state that led to the refusal. */
 static void log_over_limit(const struct edge_req *r, const struct acct *a,
 			   double amount, int64_t after_ms)
 {
@@ -232,8 +240,11 @@
 	jlog_end(en->log);
 }
 
-/* True if the account's limit has room, and is charged. */
-static bool within_limit(struct edge_req *r, int64_t *after_ms)
+/*
+ * Charges the account's limit. False: the request exceeds it; *after_ms is the
+ * Retry-After.
+ */
+static bool charge_limit(struct edge_req *r, int64_t *after_ms)
 {
 	struct edge *en = r->en;
 	struct acct *a;
@@ -252,7 +263,9 @@
 	return true;
 }
 
-static struct edge_retry_budget *budget_of(struct edge *en, const char *service)
+/* Made on first use. Services beyond the maximum share the first budget. */
+static struct edge_retry_budget *find_budget(struct edge *en,
+					     const char *service)
 {
 	unsigned i;
 
@@ -267,7 +280,7 @@
 	return &en->budgets[i];
 }
 
-static struct again_limits again_limits(const struct edge *en)
+static struct again_limits retry_limits(const struct edge *en)
 {
 	return (struct again_limits){
 		.ratio = en->conf->bounds.retry_ratio,
@@ -276,31 +289,31 @@
 	};
 }
 
-static struct again *budget_for(struct edge_req *r)
+static struct again *retry_budget(struct edge_req *r)
 {
-	return &budget_of(r->en, r->service->name)->budget;
+	return &find_budget(r->en, r->service->name)->budget;
 }
 
 bool edge_may_retry(struct edge_req *r, bool spend)
 {
 	struct edge *en = r->en;
-	const struct again_limits l = again_limits(en);
+	const struct again_limits l = retry_limits(en);
 	const int64_t now = edge_now(en);
 	const unsigned n = prs_sharing(&en->prs, now);
 
 	if (!spend)
-		return again_has(budget_for(r), &l, n, now);
-	return again_spend(budget_for(r), &l, n, now);
+		return again_has(retry_budget(r), &l, n, now);
+	return again_spend(retry_budget(r), &l, n, now);
 }
 
 void edge_retry_refund(struct edge_req *r)
 {
 	if (r->retry_charged)
-		again_return(budget_for(r));
+		again_return(retry_budget(r));
 	r->retry_charged = false;
 }
 
-/* Of a route's services one, by weight; the same for the same attempt. */
+/* Selects one of the route's services by weight, from a hash of the id. */
 static const struct cfg_service *choose_service(const struct edge_req *r)
 {
 	const struct cfg_route *route = r->route;
@@ -319,23 +332,23 @@
 	return cfg_service(r->cfg, route->shares[i].service);
 }
 
-static void arm_time_up(struct edge_req *r)
+static void arm_deadline_timer(struct edge_req *r)
 {
 	int64_t ms = r->route->timeout_ms > 0 ? r->route->timeout_ms
-					      : DEFAULT_TIME_MS;
+					      : DEFAULT_TIMEOUT_MS;
 	const int64_t now = edge_now(r->en);
 
 	if (r->attempt.deadline_ms >= 0 && r->attempt.deadline_ms < ms)
 		ms = r->attempt.deadline_ms;
 	r->deadline_at_ms = r->arrived_ms + ms;
-	ms = r->deadline_at_ms - now + TIME_UP_GRACE_MS;
+	ms = r->deadline_at_ms - now + DEADLINE_GRACE_MS;
 	ev_timer_stop(r->en->loop, &r->deadline_timer);
 	ev_timer_set(&r->deadline_timer, ms > 0 ? (double)ms / 1000 : 0.001, 0);
 	ev_timer_start(r->en->loop, &r->deadline_timer);
 }
 
-/* Under the configuration in force now. */
-static void take_config(struct edge_req *r)
+/* Assigns the configuration in force to the request. */
+static void use_current_config(struct edge_req *r)
 {
 	cfg_put(r->cfg);
 	r->cfg = cfg_ref(r->en->force.cfg);
@@ -344,16 +357,16 @@
 static void admit(struct edge_req *r)
 {
 	struct edge *en = r->en;
-	const struct again_limits l = again_limits(en);
+	const struct again_limits l = retry_limits(en);
 	const int64_t now = edge_now(en);
 	int64_t after_ms;
 
 	if (!en->force.cfg) {
-		/* Just started: the first reading takes some ten milliseconds. */
-		wait_verified(r, "no configuration yet");
+		/* Just started: the first read takes about ten milliseconds. */
+		wait_for_config(r, "no configuration yet");
 		return;
 	}
-	take_config(r);
+	use_current_config(r);
 	r->route = cfg_route(r->cfg, r->attempt.host,
 			     hmsg_url(&r->conn->parse.msg));
 	if (!r->route) {
@@ -364,24 +377,24 @@
 		deny(r, 401, "unknown key");
 		return;
 	}
-	if (!key_covered(r)) {
-		wait_verified(r, "keys not confirmed");
+	if (!key_confirmed(r)) {
+		wait_for_config(r, "keys not confirmed");
 		return;
 	}
 	r->service = choose_service(r);
 	if (!r->service) {
-		edge_req_answer(r, 503, "no such service", COME_BACK_LATER_MS);
+		edge_req_answer(r, 503, "no such service", RETRY_LATER_MS);
 		return;
 	}
-	identify(r);
-	if (!within_limit(r, &after_ms)) {
+	hash_content(r);
+	if (!charge_limit(r, &after_ms)) {
 		edge_req_answer(r, 429, "account over its limit", after_ms);
 		return;
 	}
 	rq_init(&r->rq, r->route);
 	evs_init(&r->events);
-	again_earn(budget_for(r), &l, prs_sharing(&en->prs, now), now);
-	arm_time_up(r);
+	again_earn(retry_budget(r), &l, prs_sharing(&en->prs, now), now);
+	arm_deadline_timer(r);
 	edge_send(r);
 }
 
@@ -402,7 +415,7 @@
 	}
 }
 
-static void on_again(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_verify_timeout(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct edge_req *r = t->data;
 
@@ -414,7 +427,7 @@
 	admit(r);
 }
 
-static void on_time_up(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_deadline(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct edge_req *r = t->data;
 
@@ -425,7 +438,7 @@
 	edge_step(r, rq_time_up(&r->rq), "out of time");
 }
 
-/* ---- The callers' connections ---- */
+/* ---- Callers' connections ---- */
 
 static void on_request(struct hsc *c)
 {
@@ -438,8 +451,8 @@
 	r->conn = c;
 	c->request = r;
 	r->arrived_ms = edge_now(en);
-	ev_timer_init(&r->deadline_timer, on_time_up, 0, 0);
-	ev_timer_init(&r->verify_timer, on_again, 0, 0);
+	ev_timer_init(&r->deadline_timer, on_deadline, 0, 0);
+	ev_timer_init(&r->verify_timer, on_verify_timeout, 0, 0);
 	r->deadline_timer.data = r;
 	r->verify_timer.data = r;
 	cds_list_add_tail(&r->node, &en->requests);
@@ -450,15 +463,15 @@
 		edge_req_answer(r, 400, e.text, -1);
 		return;
 	}
-	if (en->stopping && r->arrived_ms - en->stop_ms > SERVE_ON_MS) {
-		edge_req_answer(r, 503, "this entry is leaving",
-				COME_BACK_SOON_MS);
+	if (en->stopping &&
+	    r->arrived_ms - en->stop_ms > ACCEPT_AFTER_STOP_MS) {
+		edge_req_answer(r, 503, "this entry is leaving", RETRY_SOON_MS);
 		return;
 	}
 	admit(r);
 }
 
-static void on_gone(struct hsc *c)
+static void on_caller_gone(struct hsc *c)
 {
 	struct edge_req *r = c->request;
 	struct edge *en = c->server->owner;
@@ -476,7 +489,7 @@
 	edge_req_free(r);
 }
 
-static void on_fault(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void on_malformed(struct hsc *c, enum hsc_fault f, struct buf *out)
 {
 	static const struct {
 		int status;
@@ -498,7 +511,7 @@
 				    true, out);
 }
 
-/* Until a configuration is known: the usual figures. */
+/* Defaults apply until a configuration is known. */
 static void caller_limits(struct hsc_server *s, struct hsc_limits *out)
 {
 	const struct edge *en = s->owner;
@@ -513,7 +526,7 @@
 
 const struct hsc_vtable edge_caller_vtable = {
 	.request = on_request,
-	.gone = on_gone,
-	.fault = on_fault,
+	.gone = on_caller_gone,
+	.fault = on_malformed,
 	.limits = caller_limits,
 };
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -1,4 +1,4 @@
-/* A request's way to an endpoint: which one, and the call. */
+/* Sending a request: selects the endpoint and starts the call. */
 #include <assert.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -7,21 +7,22 @@
 #include "edge/edge_rollout.h"
 
 /*
- * To endpoints: a round trip is below 3 ms, and a request is late after some
- * hundred. An opening packet that was lost is sent again after a second.
+ * Timeout for connecting to an endpoint. A round trip takes less than 3 ms, and
+ * a request is late after a few hundred. A lost SYN is retransmitted only after
+ * 1 s, so waiting for that is of no use.
  */
-#define CONNECT_MS 250
-/* Bytes that the endpoint's machine does not acknowledge. */
+#define CONNECT_TIMEOUT_MS 250
+/* TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged. */
 #define USER_TIMEOUT_MS 1000
-/* A connection that went silent is probed after that, and given up 2 s later. */
+/* TCP keepalive starts after this silence; the connection fails 2 s later. */
 #define KEEPALIVE_S 1
-/* Idle connections are kept so long unless the endpoint says less. */
-#define IDLE_MS 30000
-/* A call that must not be repeated goes on a connection used this lately. */
-#define FRESH_MS 9000
+/* Idle connections are kept for this long unless the endpoint states less. */
+#define IDLE_TIMEOUT_MS 30000
+/* A request that must not be repeated uses connections idle for less. */
+#define FRESH_CONN_MS 9000
 
-/* When to come back after no endpoint was known. */
-#define NONE_RETRY_MS 1000
+/* Retry-After when no endpoint is known. */
+#define NO_ENDPOINT_RETRY_MS 1000
 
 /* ---- Endpoints' connections ---- */
 
@@ -39,10 +40,10 @@
 struct htc_peer *edge_conn_pool(struct edge *en, struct flt_endpoint *e)
 {
 	static const struct htc_limits limits = {
-		.connect_ms = CONNECT_MS,
+		.connect_ms = CONNECT_TIMEOUT_MS,
 		.user_timeout_ms = USER_TIMEOUT_MS,
 		.keepalive_s = KEEPALIVE_S,
-		.idle_ms = IDLE_MS,
+		.idle_ms = IDLE_TIMEOUT_MS,
 	};
 	struct sockaddr_in addr;
 	struct htc_peer *p;
@@ -60,7 +61,10 @@
 
 /* ---- Sending ---- */
 
-/* The more urgent the account or else the route, the lower the figure. */
+/*
+ * Priority for the engine, by the account or else the route: 0 is the most
+ * urgent, 9 the least; -1: not sent.
+ */
 static int urgency_of(const struct edge_req *r)
 {
 	const int p = r->account && r->account->has_priority
@@ -72,7 +76,8 @@
 	return p < 0 ? 0 : p > 4 ? 9 : 1 + 2 * p;
 }
 
-static struct pick_result choose(struct edge_req *r, enum flt_use use)
+/* Picks among the endpoints with this use, without those already tried. */
+static struct pick_result pick_for(struct edge_req *r, enum flt_use use)
 {
 	struct edge *en = r->en;
 	struct pick_query q = {
@@ -131,7 +136,8 @@
 	jlog_end(en->log);
 }
 
-static void occupy(struct edge_req *r, const struct pick_result *p)
+/* Counts the request at the endpoint, and keeps the state it was picked in. */
+static void assign_endpoint(struct edge_req *r, const struct pick_result *p)
 {
 	struct edge *en = r->en;
 
@@ -153,8 +159,9 @@
 			   r->endpoint->hash, edge_now(en));
 }
 
-static void start(struct edge_req *r, const struct pick_result *p,
-		  const char *copy_at)
+/* `copy_at`: where a copy of the run's KV cache is; NULL: none. */
+static void start_send(struct edge_req *r, const struct pick_result *p,
+		       const char *copy_at)
 {
 	struct edge *en = r->en;
 	struct hsc *c = r->conn;
@@ -170,9 +177,9 @@
 	struct htc_peer *link = edge_conn_pool(en, p->endpoint);
 	struct buf wire = BUF_INIT;
 
-	occupy(r, p);
+	assign_endpoint(r, p);
 	if (copy_at)
-		edge_prefill_done(r); /* nothing is left to be read */
+		edge_prefill_done(r); /* the copy has the prompt's KV cache */
 	r->sends++;
 	r->sends_reached++;
 	met_inc(en->m.sends);
@@ -190,10 +197,11 @@
 	rq_sent(&r->rq);
 	edge_fatal_sent(r);
 	if (link)
-		r->call = htc_start(link, &wire,
-				    r->rq.kind == CFG_IDEMPOTENT ? 0 : FRESH_MS,
-				    c->parse.msg.method == HTTP_HEAD, 0,
-				    &edge_answer_vtable, r);
+		r->call = htc_start(
+			link, &wire,
+			r->rq.kind == CFG_IDEMPOTENT ? 0 : FRESH_CONN_MS,
+			c->parse.msg.method == HTTP_HEAD, 0,
+			&edge_answer_vtable, r);
 	if (r->call)
 		return;
 	buf_free(&wire);
@@ -208,32 +216,33 @@
 	if (!edge_fatal_may_send(r))
 		return;
 	use = edge_rollout_use(r);
-	p = choose(r, use);
+	p = pick_for(r, use);
 	if (!p.endpoint && use != FLT_IN_USE)
-		p = choose(r, FLT_IN_USE);
+		p = pick_for(r, FLT_IN_USE);
 	if (!p.endpoint) {
 		if (r->rq.runs || r->rq.started) {
 			edge_step(r, rq_no_endpoint(&r->rq), "no endpoint");
 			return;
 		}
 		rq_no_endpoint(&r->rq);
-		edge_req_answer(
-			r, 503,
-			r->nr_tried ? "endpoints are full" : "no endpoint",
-			r->nr_tried ? EDGE_FULL_RETRY_MS : NONE_RETRY_MS);
+		edge_req_answer(r, 503,
+				r->nr_tried ? "endpoints are full"
+					    : "no endpoint",
+				r->nr_tried ? EDGE_FULL_RETRY_MS
+					    : NO_ENDPOINT_RETRY_MS);
 		return;
 	}
 	/*
-	 * The budget is of what endpoints are sent once more. Charged for
-	 * connections that were refused, it turned callers away after one
-	 * endpoint that had ended, while the others were well.
+	 * Only requests that reached an endpoint count as retries. When refused
+	 * connections were charged too, one crashed endpoint exhausted the
+	 * budget, and callers were refused while other endpoints were healthy.
 	 */
 	r->retry_charged = r->sends_reached > 0;
 	if (r->retry_charged && !edge_may_retry(r, true)) {
 		edge_step(r, rq_no_endpoint(&r->rq), "no repeats left");
 		return;
 	}
-	start(r, &p, NULL);
+	start_send(r, &p, NULL);
 }
 
 void edge_send_moved(struct edge_req *r, struct flt_endpoint *to,
@@ -250,9 +259,9 @@
 		 handle);
 	edge_log_send_ended(r, "moved", r->reply.status);
 	rq_moved(&r->rq);
-	flt_ref(to); /* the hand-over's own goes with it */
+	flt_ref(to); /* edge_send_stop drops the migration's reference */
 	edge_send_stop(r);
-	r->retry_charged = false; /* the hand-over was, by itself */
-	start(r, &p, copy_at);
+	r->retry_charged = false; /* the migration was charged on its own */
+	start_send(r, &p, copy_at);
 	flt_unref(&r->en->fleet, to);
 }
--- a/tests/fuzz/fuzz_edge.c
+++ b/tests/fuzz/fuzz_edge.c
@@ -1,8 +1,9 @@
 /*
- * Seeded mutation of what callers may send, with a check that a second reader
- * agrees: whatever is taken for a request is sent on as exactly one request
- * with the same method, path and body, and none of the headers that only the
- * system sets. `fuzz_edge N` runs N mutations.
+ * Fuzzes callers' requests by seeded mutation. Guards against request smuggling
+ * and forged headers: each accepted request must be forwarded as exactly one
+ * request with the same method, path and body when parsed again, and without
+ * the caller's values of headers that only the entry sets. `fuzz_edge N` runs N
+ * mutations.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -27,10 +28,11 @@
 	"Last-Event-Id: 4\r\n\r\n",
 };
 
+/* A parser, and what it parsed. */
 struct reader {
 	struct hparse p;
 	struct buf body;
-	int ends;
+	int ends; /* complete requests */
 };
 
 static int on_head(struct hparse *p)
@@ -52,9 +54,9 @@
 
 static const struct hparse_vtable vtable = { on_head, on_body, on_end };
 
-/* True if the bytes begin with one whole request; *used tells its length. */
-static bool read_one(struct reader *r, const char *data, size_t len,
-		     size_t *used)
+/* True if the data begins with a complete request; *used is its length. */
+static bool parse_request(struct reader *r, const char *data, size_t len,
+			  size_t *used)
 {
 	memset(r, 0, sizeof(*r));
 	hparse_init(&r->p, true, 16384, &vtable, r);
@@ -76,7 +78,8 @@
 		!memcmp(a->body.data, b->body.data, a->body.len));
 }
 
-static bool nothing_forged(const struct hmsg *m)
+/* True if headers that only the entry sets have its values. */
+static bool has_own_headers_only(const struct hmsg *m)
 {
 	return hmsg_count(m, "Tenant") == 1 &&
 	       !strcmp(hmsg_find(m, "Tenant"), "ours") &&
@@ -85,29 +88,31 @@
 	       hmsg_count(m, "Host") == 1 && hmsg_count(m, "Attempt-Id") == 1;
 }
 
-/* 1 if what is sent on does not read as the request that was taken. */
-static unsigned round_trip(const char *data, size_t len, unsigned *taken)
+/* Returns 1 if the request is accepted and forwarded differently, else 0. */
+static unsigned round_trip(const char *data, size_t len, unsigned *accepted)
 {
 	const struct forward f = { "i-1", "ours", 500, 3, -1, NULL };
-	struct reader first, second;
+	struct reader original, forwarded;
 	struct attempt a;
 	struct err e = ERR_INIT;
 	BUF_AUTO out = BUF_INIT;
 	unsigned wrong = 0;
 	size_t used;
 
-	if (!read_one(&first, data, len, &used) ||
-	    pf_wire()->decode_request(&first.p.msg, &a, &e)) {
-		reader_free(&first);
+	if (!parse_request(&original, data, len, &used) ||
+	    pf_wire()->decode_request(&original.p.msg, &a, &e)) {
+		reader_free(&original);
 		return 0;
 	}
-	(*taken)++;
-	pf_wire()->encode_request(&first.p.msg, &first.body, &a, &f, &out);
-	if (!read_one(&second, out.data, out.len, &used) || used != out.len ||
-	    !same_request(&first, &second) || !nothing_forged(&second.p.msg))
+	(*accepted)++;
+	pf_wire()->encode_request(&original.p.msg, &original.body, &a, &f,
+				  &out);
+	if (!parse_request(&forwarded, out.data, out.len, &used) ||
+	    used != out.len || !same_request(&original, &forwarded) ||
+	    !has_own_headers_only(&forwarded.p.msg))
 		wrong = 1;
-	reader_free(&second);
-	reader_free(&first);
+	reader_free(&forwarded);
+	reader_free(&original);
 	return wrong;
 }
 
@@ -153,7 +158,7 @@
 int main(int argc, char **argv)
 {
 	const long runs = argc > 1 ? atol(argv[1]) : DEFAULT_RUNS;
-	unsigned wrong = 0, taken = 0;
+	unsigned wrong = 0, accepted = 0;
 	struct rnd rnd;
 	long i;
 
@@ -166,15 +171,15 @@
 		buf_str(&text, seeds[i % 4]);
 		if (i >= 4)
 			mutate(&text, &rnd);
-		wrong += round_trip(text.data, text.len, &taken);
+		wrong += round_trip(text.data, text.len, &accepted);
 		evs_init(&s);
 		evs_feed(&s, text.data, text.len, -1, &events);
 		evs_free(&s);
 	}
-	printf("  requests taken: %u of %ld\n", taken, runs);
-	/* Few would be taken if the seeds themselves were refused. */
+	printf("  requests accepted: %u of %ld\n", accepted, runs);
+	/* Too few are accepted if the seeds themselves are refused. */
 	printf("fuzz_edge: %d passed, %d failed\n",
-	       (wrong == 0) + (taken > runs / 20),
-	       (wrong != 0) + (taken <= runs / 20));
-	return wrong || taken <= runs / 20;
+	       (wrong == 0) + (accepted > runs / 20),
+	       (wrong != 0) + (accepted <= runs / 20));
+	return wrong || accepted <= runs / 20;
 }
--- a/tests/test_conf.c
+++ b/tests/test_conf.c
@@ -1,4 +1,4 @@
-/* Settings of an entry: the example works, wrong ones get one clear line. */
+/* Settings of an entry: the example is valid, errors are one line each. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -23,17 +23,17 @@
 
 static void read_example(struct buf *out)
 {
-	char room[4096];
+	char chunk[4096];
 	FILE *f = fopen("examples/edge.json", "r");
 	size_t n;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(f);
-	n = fread(room, 1, sizeof(room), f);
-	buf_add(out, room, n);
+	n = fread(chunk, 1, sizeof(chunk), f);
+	buf_add(out, chunk, n);
 	fclose(f);
 }
 
-static void example_works(void)
+static void example_is_valid(void)
 {
 	struct err e = ERR_INIT;
 	struct conf c;
@@ -46,7 +46,7 @@
 	CU_ASSERT_DOUBLE_EQUAL(c.bounds.retry_ratio, 0.2, 1e-9);
 }
 
-/* The example with the first `from` replaced. */
+/* Writes the example with the first `from` replaced by `to`. */
 static void changed_example(const char *from, const char *to, struct buf *out)
 {
 	BUF_AUTO text = BUF_INIT;
@@ -60,7 +60,7 @@
 	buf_str(out, at + strlen(from));
 }
 
-/* Replaces `from` in the example and expects an error that names `word`. */
+/* Replaces `from` in the example, and expects a one-line error with `word`. */
 static void expect_error(const char *from, const char *to, const char *word)
 {
 	BUF_AUTO changed = BUF_INIT;
@@ -73,7 +73,7 @@
 	CU_ASSERT_PTR_NULL(strchr(e.text, '\n'));
 }
 
-static void wrong_settings_name_their_field(void)
+static void errors_name_the_setting(void)
 {
 	expect_error("\"zone\": \"north\"", "\"zoen\": \"north\"", "zoen");
 	expect_error("\"zone\": \"north\",", "", "zone");
@@ -85,7 +85,7 @@
 	expect_error("127.0.0.1:8226", "127.0.0.1:70000", "bad port");
 }
 
-static void unknown_duties_are_left_to_others(void)
+static void unknown_duties_are_ignored(void)
 {
 	BUF_AUTO text = BUF_INIT;
 	struct err e = ERR_INIT;
@@ -99,7 +99,7 @@
 	CU_ASSERT(c.cloud.usage && !c.cloud.scaling);
 }
 
-/* All mechanisms are on unless a file says otherwise, each by itself. */
+/* All mechanisms are on by default, and each can be switched off alone. */
 static void mechanisms_are_switched_one_by_one(void)
 {
 	static const char from[] = "\"first_internal_port\":";
@@ -136,10 +136,9 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "the example works", example_works },
-	{ "wrong settings name their field", wrong_settings_name_their_field },
-	{ "unknown duties are left to others",
-	  unknown_duties_are_left_to_others },
+	{ "the example is valid", example_is_valid },
+	{ "errors name the setting", errors_name_the_setting },
+	{ "unknown duties are ignored", unknown_duties_are_ignored },
 	{ "missing and empty files are errors",
 	  missing_and_empty_files_are_errors },
 	{ "mechanisms are switched one by one",
