--- a/lib/edge/conf.h
+++ b/lib/edge/conf.h
@@ -47,7 +47,7 @@
 	} limits; /* of this process */
 	/* Bounds that the entries together guarantee. */
 	struct {
-		double drain_ms; /* until a draining endpoint gets no new work */
+		double drain_ms; /* until a draining endpoint is avoided */
 		double grace_s;	 /* from SIGTERM to the kill */
 		double apply_ms; /* until a changed configuration is in force */
 		double revoke_ms;      /* until a revoked key is refused */
@@ -59,18 +59,18 @@
 		double lease_ms; /* in which a duty holder may still act */
 		double usage_window_s; /* length of a usage window */
 		double usage_late_s;   /* after it, until the report is due */
-		/* Exposure limit of a new version; a share of 0 disables roll-outs. */
+		/* Exposure limit of a new version; share 0: no roll-outs. */
 		double exposure_share;
 		double exposure_slack;
-		/* Refuse requests when keys cannot be confirmed in revoke_ms. */
+		/* Refuse requests whose keys were not confirmed lately. */
 		bool strict_revoke;
 	} bounds;
-	double list_ttl_s; /* how long callers may use the answer of a look-up */
+	double list_ttl_s; /* maximum TTL of a look-up's answer */
 	/*
-	 * Mechanisms that can be switched off one by one, to measure the effect
-	 * of one or while it is suspected of a fault. Without `moves` streams on
-	 * leaving endpoints may be cut; no other guarantee depends on one of
-	 * them.
+	 * Mechanisms that can be switched off one by one, to measure the
+	 * effect of one or while it is suspected of a fault. Without `moves`
+	 * streams on leaving endpoints may be cut; no other guarantee depends
+	 * on one of them.
 	 */
 	struct {
 		bool affinity;	    /* route by prefix cache */
@@ -81,10 +81,10 @@
 		bool sample;	    /* consider a random sample of endpoints */
 		bool urgency;	    /* send priorities to engines */
 		bool moves;	    /* migrate streams off leaving endpoints */
-		bool price_cover; /* more spot endpoints than needed, by price */
-		bool loss_cover;  /* stand-by capacity for the next reclaim */
-		bool ease;	  /* drain on-demand endpoints one by one */
-		bool carry_plan;  /* start from the former holder's plan */
+		bool price_cover;   /* spot endpoints beyond need, by price */
+		bool loss_cover;    /* stand-by capacity for the next reclaim */
+		bool ease;	    /* drain on-demand endpoints one by one */
+		bool carry_plan;    /* start from the former holder's plan */
 	} policy;
 };
 
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -26,7 +26,7 @@
 #define MIN_SHUTDOWN_MS 2500
 #define KILL_MARGIN_MS 400
 
-/* One counter per kind: calls are billed, so operators need to see which grow. */
+/* A counter for each kind: calls are billed, so growth must be traceable. */
 static void register_store_metrics(struct met *m, struct edge_metrics *x)
 {
 	static const char *const names[STO_KINDS] = {
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -13,16 +13,17 @@
 /* Retry-After of a quarantined request. */
 #define QUARANTINE_RETRY_MS 60000
 
-/* Retry-After while the suspect runs elsewhere: its outcome is known by then. */
+/* Retry-After while a suspect runs elsewhere: its outcome is known then. */
 #define BUSY_RETRY_MS 300
 
-/* Batching delay of gossip about crashes, and its bound in a burst. */
+/* Delay that batches gossip about crashes, and minimum time between two. */
 #define GOSSIP_DELAY_MS 2
 #define MIN_GOSSIP_GAP_MS 50
 
 /*
- * A record that is not in the store is written again after the first time. The
- * entry of watch rank 0 writes those of other entries after the second.
+ * Interval at which writing or deleting a record is retried; and the delay
+ * after which the entry of watch rank 0 writes a record that the entry which saw
+ * the crash has not written.
  */
 #define RECORD_RETRY_MS 1000
 #define RECORD_FALLBACK_MS 3000
@@ -129,7 +130,7 @@
 	return NULL;
 }
 
-/* The endpoint that runs this content for us, as a hash; 0: none. */
+/* Hash of the endpoint to which this entry sent the content; 0: none. */
 static uint64_t endpoint_of(void *arg, struct hsh_wide content)
 {
 	const struct edge_req *r = find_in_flight(arg, content);
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -12,6 +12,9 @@
  * Times: *_ms are milliseconds, and points in time are those of edge_now().
  * *_true_ms are points in time of the corrected wall clock (truth.h), since
  * 1970. Functions that take `now` expect edge_now().
+ *
+ * Each *_open function is called once at the start, each *_tick function
+ * periodically from the event loop (edge.c).
  */
 #ifndef EDGE_INTERNAL_H
 #define EDGE_INTERNAL_H
@@ -112,7 +115,7 @@
 /* Watches with a lower id can be followed at another entry. */
 #define EDGE_NR_SHARED_WATCHES EDGE_WATCH_ROLLOUTS
 
-/* The sto_follow lane on which configurations are fetched from other entries. */
+/* The lane (sto_follow) on which entries fetch configurations from others. */
 #define EDGE_CONFIG_LANE EDGE_NR_SHARED_WATCHES
 
 /* A mirror of the keys with a prefix, kept up to date by a watch. */
@@ -367,7 +370,7 @@
 /* The endpoint was removed for good from the list. */
 void edge_fatal_endpoint_gone(struct edge *en, const struct flt_endpoint *e);
 
-/* Adds what this entry knows of suspects to a datagram; takes over another's. */
+/* Adds this entry's suspects to a datagram; takes over those of another. */
 void edge_fatal_fill_gossip(struct edge *en, struct gsp_record *out,
 			    int64_t now);
 void edge_fatal_apply_gossip(struct edge *en, const struct gsp_record *r,
@@ -412,12 +415,12 @@
 /* There was no connection to the endpoint: as edge_send_not_run. */
 void edge_send_unreached(struct edge_req *r, const char *why);
 
-/* Logs the end of the current send. */
+/* Logs the end of the current send. `status`: of the answer; 0: none. */
 void edge_log_send_ended(struct edge_req *r, const char *outcome, int status);
 
 /*
- * After a migration failed: the run was stopped and its outcome is lost, or it
- * was complete. May free `r`.
+ * End the current send after its migration failed: the rest of the run is lost,
+ * or the stream was complete. Free `r`, unless the lost run is sent again.
  */
 void edge_send_lost(struct edge_req *r, const char *why);
 void edge_send_finished(struct edge_req *r);
@@ -529,7 +532,7 @@
 /* Opens the listener and the socket for datagrams; -1 with an error. */
 int edge_peer_open(struct edge *en, struct err *e);
 
-/* Runs a gossip round; called each 200 ms. */
+/* Runs a gossip round, and evaluates what peers last sent. */
 void edge_peer_tick(struct edge *en, int64_t now);
 
 /* Sends to all peers at once instead of in rounds, for urgent news. */
@@ -548,8 +551,8 @@
 /* ---- edge_rank.c: selection of entries for roles of a few ---- */
 
 /*
- * This entry's rank, from 0, among those that watch the store; -1: it is none
- * of them. Overwrites en->ranking.
+ * This entry's rank, from 0, among the entries that watch the store; -1: it
+ * does not watch the store. Overwrites en->ranking.
  */
 int edge_watch_rank(struct edge *en, int64_t now);
 
--- a/lib/edge/edge_probe.c
+++ b/lib/edge/edge_probe.c
@@ -1,11 +1,10 @@
 /*
  * Probes an endpoint after a send to it broke off.
  *
- * A broken connection alone does not show a crash: connections are reset and
- * answers get lost, which looks the same as a crash to the request. A new
- * connection distinguishes them: it is accepted, or refused because no process
- * listens. The connection is kept for the next request, so probing a live
- * endpoint costs nothing.
+ * A broken connection alone does not prove a crash: connections are also reset,
+ * and answers lost, while the endpoint lives. A new connection shows which: it
+ * is accepted, or refused because no process listens. It is kept for the next
+ * request, so probing a live endpoint costs nothing.
  */
 #include <assert.h>
 #include <stdlib.h>
