--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -22,8 +22,8 @@
 
 /*
  * Interval at which writing or deleting a record is retried; and the delay
- * after which the entry of watch rank 0 writes a record that the entry which saw
- * the crash has not written.
+ * after which the entry of watch rank 0 writes a record in place of the entry
+ * that saw the crash.
  */
 #define RECORD_RETRY_MS 1000
 #define RECORD_FALLBACK_MS 3000
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -420,7 +420,7 @@
 
 /*
  * End the current send after its migration failed: the rest of the run is lost,
- * or the stream was complete. Free `r`, unless the lost run is sent again.
+ * or the stream was complete. Both may free `r`.
  */
 void edge_send_lost(struct edge_req *r, const char *why);
 void edge_send_finished(struct edge_req *r);
