--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -75,7 +75,7 @@
 	       (!r->sends_reached || edge_may_retry(r, false));
 }
 
-/* Closes the caller's connection within an answer. */
+/* Closes the caller's connection before the answer is complete. */
 static void cut_answer(struct edge_req *r, const char *why)
 {
 	struct edge *en = r->en;
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -183,7 +183,7 @@
 	if (m->call)
 		return;
 	buf_free(&wire);
-	move_failed(m, "no connection to be had");
+	move_failed(m, "no connection to the endpoint");
 }
 
 static bool should_move(const struct edge_req *r, int64_t now)
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -9,7 +9,7 @@
 /*
  * Timeout for connecting to an endpoint. A round trip takes less than 3 ms, and
  * a request is late after a few hundred. A lost SYN is retransmitted only after
- * 1 s, so waiting for that is of no use.
+ * 1 s, which is too late.
  */
 #define CONNECT_TIMEOUT_MS 250
 /* TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged. */
@@ -136,7 +136,7 @@
 	jlog_end(en->log);
 }
 
-/* Counts the request at the endpoint, and keeps the state it was picked in. */
+/* Counts the request at the endpoint, and keeps the endpoint's state. */
 static void assign_endpoint(struct edge_req *r, const struct pick_result *p)
 {
 	struct edge *en = r->en;
