--- a/lib/edge/edge_probe.c
+++ b/lib/edge/edge_probe.c
@@ -1,11 +1,10 @@
 /*
- * Whether an endpoint is still there after a send to it broke off.
+ * Probes an endpoint after a send to it broke off.
  *
- * A broken connection says little: connections are reset, answers get lost,
- * and an endpoint that ended looks the same to the request that it took with
- * it. The next connection tells them apart: it is taken, or the endpoint's
- * machine answers that nobody listens. It is kept for the next request, so
- * looking costs nothing where the endpoint lives.
+ * A broken connection alone does not prove a crash: connections are also reset,
+ * and answers lost, while the endpoint lives. A new connection shows which: it
+ * is accepted, or refused because no process listens. It is kept for the next
+ * request, so probing a live endpoint costs nothing.
  */
 #include <assert.h>
 #include <stdlib.h>
@@ -15,12 +14,12 @@
 struct probe {
 	struct edge *en;
 	struct flt_endpoint *e;
-	int64_t since_ms;
+	int64_t since_ms; /* when it was started */
 };
 
 static void on_probed(void *arg, enum htc_found found)
 {
-	static const char *const words[] = {
+	static const char *const results[] = {
 		[HTC_THERE] = "there",
 		[HTC_NOBODY] = "ended",
 		[HTC_SILENT] = "silent",
@@ -32,7 +31,7 @@
 	jlog_begin(en->log, JLOG_INFO, "endpoint_probed");
 	jlog_str(en->log, "endpoint", e->info.id);
 	jlog_str(en->log, "service", e->info.service);
-	jlog_str(en->log, "found", words[found]);
+	jlog_str(en->log, "found", results[found]);
 	jlog_int(en->log, "took_ms", edge_now(en) - p->since_ms);
 	jlog_int(en->log, "list_age_ms", edge_list_age(en, edge_now(en)));
 	jlog_end(en->log);
@@ -44,7 +43,7 @@
 
 bool edge_probe(struct edge *en, struct flt_endpoint *e)
 {
-	struct htc_peer *link = edge_link(en, e);
+	struct htc_peer *link = edge_conn_pool(en, e);
 	struct probe *p;
 
 	if (e->probing || !link)
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -1,4 +1,4 @@
-/* A request's way to an endpoint: which one, and the call. */
+/* Sending a request: selects the endpoint and starts the call. */
 #include <assert.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -7,25 +7,26 @@
 #include "edge/edge_rollout.h"
 
 /*
- * To endpoints: a round trip is below 3 ms, and a request is late after some
- * hundred. An opening packet that was lost is sent again after a second.
+ * Timeout for connecting to an endpoint. A round trip takes less than 3 ms, and
+ * a request is late after a few hundred. A lost SYN is retransmitted only after
+ * 1 s, which is too late.
  */
-#define CONNECT_MS 250
-/* Bytes that the endpoint's machine does not acknowledge. */
+#define CONNECT_TIMEOUT_MS 250
+/* TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged. */
 #define USER_TIMEOUT_MS 1000
-/* A connection that went silent is probed after that, and given up 2 s later. */
+/* TCP keepalive starts after this silence; the connection fails 2 s later. */
 #define KEEPALIVE_S 1
-/* Idle connections are kept so long unless the endpoint says less. */
-#define IDLE_MS 30000
-/* A call that must not be repeated goes on a connection used this lately. */
-#define FRESH_MS 9000
+/* Idle connections are kept for this long unless the endpoint states less. */
+#define IDLE_TIMEOUT_MS 30000
+/* A request that must not be repeated uses connections idle for less. */
+#define FRESH_CONN_MS 9000
 
-/* When to come back after no endpoint was known. */
-#define NONE_RETRY_MS 1000
+/* Retry-After when no endpoint is known. */
+#define NO_ENDPOINT_RETRY_MS 1000
 
 /* ---- Endpoints' connections ---- */
 
-void edge_unlink(struct flt_endpoint *e)
+void edge_conn_pool_free(struct flt_endpoint *e)
 {
 	struct htc_peer *p = e->link;
 
@@ -36,13 +37,13 @@
 	e->link = NULL;
 }
 
-struct htc_peer *edge_link(struct edge *en, struct flt_endpoint *e)
+struct htc_peer *edge_conn_pool(struct edge *en, struct flt_endpoint *e)
 {
 	static const struct htc_limits limits = {
-		.connect_ms = CONNECT_MS,
+		.connect_ms = CONNECT_TIMEOUT_MS,
 		.user_timeout_ms = USER_TIMEOUT_MS,
 		.keepalive_s = KEEPALIVE_S,
-		.idle_ms = IDLE_MS,
+		.idle_ms = IDLE_TIMEOUT_MS,
 	};
 	struct sockaddr_in addr;
 	struct htc_peer *p;
@@ -60,7 +61,10 @@
 
 /* ---- Sending ---- */
 
-/* The more urgent the account or else the route, the lower the figure. */
+/*
+ * Priority for the engine, by the account or else the route: 0 is the most
+ * urgent, 9 the least; -1: not sent.
+ */
 static int urgency_of(const struct edge_req *r)
 {
 	const int p = r->account && r->account->has_priority
@@ -72,26 +76,28 @@
 	return p < 0 ? 0 : p > 4 ? 9 : 1 + 2 * p;
 }
 
-static struct pick_result choose(struct edge_req *r, enum flt_use use)
+/* Picks among the endpoints with this use, without those already tried. */
+static struct pick_result pick_for(struct edge_req *r, enum flt_use use)
 {
 	struct edge *en = r->en;
 	struct pick_query q = {
 		.service = r->service->name,
-		.model = edge_model(en, r->service->name),
+		.model = edge_service_model(en, r->service->name),
 		.zone = en->conf->zone,
 		.engine = r->service->has_engine,
 		.prefix = en->conf->policy.affinity && r->route->cached
-				  ? r->a.shared_part
+				  ? r->attempt.shared_part
 				  : 0,
 		.ignore_failures = !en->conf->policy.avoid_failing,
-		.isolate = r->apart,
+		.isolate = r->isolated,
 		.sending_peers = en->sending_peers,
 		.sample_seed = en->conf->policy.sample
-				       ? hsh_str(r->a.id, r->sends) | 1
+				       ? hsh_str(r->attempt.id, r->sends) | 1
 				       : 0,
 		.use = use,
-		.shared_tokens = r->a.shared_tokens,
-		.unshared_tokens = r->a.prompt_tokens - r->a.shared_tokens,
+		.shared_tokens = r->attempt.shared_tokens,
+		.unshared_tokens =
+			r->attempt.prompt_tokens - r->attempt.shared_tokens,
 		.now_ms = edge_now(en),
 		.nr_excluded = r->nr_tried,
 		.parts = &en->parts,
@@ -108,7 +114,7 @@
 	const int64_t now = edge_now(en);
 
 	jlog_begin(en->log, JLOG_INFO, "send");
-	jlog_str(en->log, "id", r->a.id);
+	jlog_str(en->log, "id", r->attempt.id);
 	edge_log_content(en, r->content);
 	jlog_str(en->log, "route", r->route->name);
 	jlog_str(en->log, "account", r->account ? r->account->name : "");
@@ -124,13 +130,14 @@
 	jlog_int(en->log, "peer_running", (int64_t)p->endpoint->peer_running);
 	jlog_str(en->log, "version", p->endpoint->info.version);
 	jlog_int(en->log, "send", r->sends);
-	jlog_bool(en->log, "apart", r->apart);
+	jlog_bool(en->log, "apart", r->isolated);
 	jlog_int(en->log, "resume_after", f->resume_after);
 	jlog_int(en->log, "left_ms", f->deadline_ms);
 	jlog_end(en->log);
 }
 
-static void occupy(struct edge_req *r, const struct pick_result *p)
+/* Counts the request at the endpoint, and keeps the endpoint's state. */
+static void assign_endpoint(struct edge_req *r, const struct pick_result *p)
 {
 	struct edge *en = r->en;
 
@@ -138,22 +145,23 @@
 	flt_ref(r->endpoint);
 	r->endpoint->running++;
 	edge_rollout_sent(r);
-	r->model = edge_model(en, r->service->name);
-	r->at = p->state;
-	r->expected_ms = p->wait_ms;
-	r->sure = p->cache_certain;
-	r->prefill_tokens =
-		r->a.prompt_tokens - (p->cached ? r->a.shared_tokens : 0);
+	r->model = edge_service_model(en, r->service->name);
+	r->endpoint_state = p->state;
+	r->predicted_ms = p->wait_ms;
+	r->prefill_known = p->cache_certain;
+	r->prefill_tokens = r->attempt.prompt_tokens -
+			    (p->cached ? r->attempt.shared_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
-		svc_sent(r->model, r->at.read_tokens, edge_now(en));
-	if (r->route->cached && r->a.shared_part)
-		parts_record(&en->parts, r->a.shared_part, r->endpoint->hash,
-			     edge_now(en));
+		svc_sent(r->model, r->endpoint_state.read_tokens, edge_now(en));
+	if (r->route->cached && r->attempt.shared_part)
+		parts_record(&en->parts, r->attempt.shared_part,
+			     r->endpoint->hash, edge_now(en));
 }
 
-static void start(struct edge_req *r, const struct pick_result *p,
-		  const char *copy_at)
+/* `copy_at`: where a copy of the run's KV cache is; NULL: none. */
+static void start_send(struct edge_req *r, const struct pick_result *p,
+		       const char *copy_at)
 {
 	struct edge *en = r->en;
 	struct hsc *c = r->conn;
@@ -161,22 +169,22 @@
 	const struct forward f = {
 		.endpoint_id = p->endpoint->info.id,
 		.account = r->account ? r->account->name : NULL,
-		.deadline_ms = r->until_ms - now,
+		.deadline_ms = r->deadline_at_ms - now,
 		.urgency = urgency_of(r),
 		.resume_after = r->rq.started ? r->events.last_id : -1,
 		.copy_at = copy_at,
 	};
-	struct htc_peer *link = edge_link(en, p->endpoint);
+	struct htc_peer *link = edge_conn_pool(en, p->endpoint);
 	struct buf wire = BUF_INIT;
 
-	occupy(r, p);
+	assign_endpoint(r, p);
 	if (copy_at)
-		edge_first_event_seen(r); /* nothing is left to be read */
+		edge_prefill_done(r); /* the copy has the prompt's KV cache */
 	r->sends++;
-	r->reached++;
+	r->sends_reached++;
 	met_inc(en->m.sends);
 	if (p->endpoint->use == FLT_ON_TRIAL)
-		met_inc(en->m.sent_on_trial);
+		met_inc(en->m.sends_on_trial);
 	if (r->sends > 1)
 		met_inc(r->rq.started ? en->m.resumes : en->m.resends);
 	r->sent_ms = now;
@@ -184,18 +192,20 @@
 	memset(&r->reply, 0, sizeof(r->reply));
 	evs_restart(&r->events);
 	log_send(r, p, &f);
-	en->wire->forward(&c->parse.msg, &c->body, &r->a, &f, &wire);
+	en->wire->encode_request(&c->parse.msg, &c->body, &r->attempt, &f,
+				 &wire);
 	rq_sent(&r->rq);
 	edge_fatal_sent(r);
 	if (link)
-		r->call = htc_start(link, &wire,
-				    r->rq.kind == CFG_IDEMPOTENT ? 0 : FRESH_MS,
-				    c->parse.msg.method == HTTP_HEAD, 0,
-				    &edge_answer_vtable, r);
+		r->call = htc_start(
+			link, &wire,
+			r->rq.kind == CFG_IDEMPOTENT ? 0 : FRESH_CONN_MS,
+			c->parse.msg.method == HTTP_HEAD, 0,
+			&edge_answer_vtable, r);
 	if (r->call)
 		return;
 	buf_free(&wire);
-	edge_unreached(r, "no connection to be had");
+	edge_send_unreached(r, "no connection to be had");
 }
 
 void edge_send(struct edge_req *r)
@@ -206,32 +216,33 @@
 	if (!edge_fatal_may_send(r))
 		return;
 	use = edge_rollout_use(r);
-	p = choose(r, use);
+	p = pick_for(r, use);
 	if (!p.endpoint && use != FLT_IN_USE)
-		p = choose(r, FLT_IN_USE);
+		p = pick_for(r, FLT_IN_USE);
 	if (!p.endpoint) {
 		if (r->rq.runs || r->rq.started) {
 			edge_step(r, rq_no_endpoint(&r->rq), "no endpoint");
 			return;
 		}
 		rq_no_endpoint(&r->rq);
-		edge_req_answer(
-			r, 503,
-			r->nr_tried ? "endpoints are full" : "no endpoint",
-			r->nr_tried ? EDGE_FULL_RETRY_MS : NONE_RETRY_MS);
+		edge_req_answer(r, 503,
+				r->nr_tried ? "endpoints are full"
+					    : "no endpoint",
+				r->nr_tried ? EDGE_FULL_RETRY_MS
+					    : NO_ENDPOINT_RETRY_MS);
 		return;
 	}
 	/*
-	 * The budget is of what endpoints are sent once more. Charged for
-	 * connections that were refused, it turned callers away after one
-	 * endpoint that had ended, while the others were well.
+	 * Only requests that reached an endpoint count as retries. When refused
+	 * connections were charged too, one crashed endpoint exhausted the
+	 * budget, and callers were refused while other endpoints were healthy.
 	 */
-	r->paid = r->reached > 0;
-	if (r->paid && !edge_may_repeat(r, true)) {
+	r->retry_charged = r->sends_reached > 0;
+	if (r->retry_charged && !edge_may_retry(r, true)) {
 		edge_step(r, rq_no_endpoint(&r->rq), "no repeats left");
 		return;
 	}
-	start(r, &p, NULL);
+	start_send(r, &p, NULL);
 }
 
 void edge_send_moved(struct edge_req *r, struct flt_endpoint *to,
@@ -246,11 +257,11 @@
 	}
 	snprintf(copy_at, sizeof(copy_at), "%s/%s", r->endpoint->info.address,
 		 handle);
-	edge_log_outcome(r, "moved", r->reply.status);
+	edge_log_send_ended(r, "moved", r->reply.status);
 	rq_moved(&r->rq);
-	flt_ref(to); /* the hand-over's own goes with it */
+	flt_ref(to); /* edge_send_stop drops the migration's reference */
 	edge_send_stop(r);
-	r->paid = false; /* the hand-over was, by itself */
-	start(r, &p, copy_at);
+	r->retry_charged = false; /* the migration was charged on its own */
+	start_send(r, &p, copy_at);
 	flt_unref(&r->en->fleet, to);
 }
