--- a/bench/bench_scale.c
+++ b/bench/bench_scale.c
@@ -293,8 +293,8 @@
 	before = heap();
 	b->swim = swim_create(&self, &cfg, 3);
 	for (i = 1; i < b->entries; i++) {
-		member(&d.who, i);
-		swim_learn(b->swim, &d, 0);
+		member(&d.member, i);
+		swim_apply_quietly(b->swim, &d, 0);
 	}
 	mem->swim = heap() - before;
 	flow_init(&b->flow, 1, 400, 1 << 30);
--- a/bench/scale_wire.c
+++ b/bench/scale_wire.c
@@ -243,7 +243,7 @@
 
 	if (a.kind == SWIM_DO_PROBE)
 		exchange(t, i, node_of(a.target.name));
-	for (h = 0; a.kind == SWIM_DO_HELP && h < a.nr_helpers; h++) {
+	for (h = 0; a.kind == SWIM_DO_INDIRECT_PROBE && h < a.nr_helpers; h++) {
 		const unsigned helper = node_of(a.helpers[h].name);
 
 		exchange(t, i, helper);
@@ -268,9 +268,9 @@
 	for (i = 0; i < n; i++) {
 		t->s[i] = swim_create(&t->m[i], &cfg, i + 1);
 		for (k = 0; k < n; k++) {
-			d.who = t->m[k];
+			d.member = t->m[k];
 			if (k != i)
-				swim_learn(t->s[i], &d, 0);
+				swim_apply_quietly(t->s[i], &d, 0);
 		}
 	}
 }
--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -105,7 +105,7 @@
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (!p->registered && !prs_alive(p, edge_now(en)))
 			continue;
-		if (p->counted_true_ms < window_end_ms + TOLD_AFTER_MS)
+		if (p->counts_true_ms < window_end_ms + TOLD_AFTER_MS)
 			return false;
 	}
 	return true;
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -30,7 +30,7 @@
 static int64_t spread_ms(struct edge *en, int64_t now)
 {
 	const double per_s = (double)en->conf->store.writes_per_s * WRITE_PART;
-	const double all = WRITES_EACH * prs_sharing(&en->prs, now);
+	const double all = WRITES_EACH * prs_count_running(&en->prs, now);
 
 	if (per_s < 1)
 		return 0;
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -189,7 +189,8 @@
 
 	struct lead lead;
 	struct carry plan; /* of the holder, as last read from the store */
-	char duty_holder[GSP_NAME]; /* entry that holds the duties; "": none */
+	char duty_holder
+		[GSP_NAME_SIZE]; /* entry that holds the duties; "": none */
 	struct usage usage;
 	struct truth truth;
 	struct edge_duty *duty;
@@ -416,7 +417,7 @@
  */
 const struct prs_peer *edge_leader(struct edge *en, int64_t now);
 
-/* Marks the peers that are told all counts (prs_peer.keeps_counts). */
+/* Marks the peers that are told all counts (prs_peer.collects_counts). */
 void edge_mark_keepers(struct edge *en, int64_t now);
 
 /* Addresses of the entries that callers should use; returns how many. */
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -55,9 +55,10 @@
 
 	cds_list_for_each_entry(a, &en->accounts.accounts, node) {
 		per_s = acct_demand(a, now);
-		if (per_s < MIN_DEMAND || r->nr_demands == GSP_ACCOUNTS)
+		if (per_s < MIN_DEMAND || r->nr_demands == GSP_MAX_DEMANDS)
 			continue;
-		str_copy(r->demands[r->nr_demands].account, a->name, GSP_NAME);
+		str_copy(r->demands[r->nr_demands].account, a->name,
+			 GSP_NAME_SIZE);
 		r->demands[r->nr_demands++].per_s = per_s;
 	}
 }
@@ -67,7 +68,7 @@
 	struct flt_endpoint *e;
 
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
-		if (!e->running || r->nr_loads == GSP_LOADS)
+		if (!e->running || r->nr_loads == GSP_MAX_LOADS)
 			continue;
 		r->loads[r->nr_loads++] = (struct gsp_load){
 			.endpoint = e->hash,
@@ -83,11 +84,11 @@
 	struct svc *s;
 
 	cds_list_for_each_entry(s, &en->models, node) {
-		if (r->nr_services == GSP_SERVICES)
+		if (r->nr_services == GSP_MAX_SERVICES)
 			return;
 		row = &r->services[r->nr_services++];
-		svc_tell(s, &row->told);
-		row->reads_per_s = svc_reads_per_s(s, now);
+		svc_tell(s, &row->estimates);
+		row->prefill_tokens_per_s = svc_reads_per_s(s, now);
 	}
 }
 
@@ -109,13 +110,13 @@
 {
 	struct gsp_count *c;
 
-	if (r->nr_counts == GSP_COUNTS)
+	if (r->nr_counts == GSP_MAX_COUNTS)
 		return;
 	c = &r->counts[r->nr_counts++];
 	c->source = source;
 	c->window = window;
 	c->runs = runs;
-	str_copy(c->account, account, GSP_NAME);
+	str_copy(c->account, account, GSP_NAME_SIZE);
 }
 
 static void say_own(uint64_t source, int64_t window, const char *account,
@@ -148,16 +149,16 @@
 		usage_window(&en->usage, true_now) - TOLD_WINDOWS + 1;
 
 	gsp_clear(r);
-	str_copy(r->name, en->conf->name, GSP_NAME);
+	str_copy(r->name, en->conf->name, GSP_NAME_SIZE);
 	r->boot = en->boot;
 	r->seq = ++en->seq;
 	r->stamp_ms = now;
 	r->true_ms = true_now;
-	r->taking = edge_taking(en);
+	r->accepting = edge_taking(en);
 	r->store_ok = sto_direct_ok(en->store);
 	r->store_era = sto_era(en->store);
 	r->cfg_version = en->force.cfg ? en->force.cfg->version : 0;
-	r->fresh_age_ms = age == INT64_MAX ? -1 : age;
+	r->cfg_confirmed_age_ms = age == INT64_MAX ? -1 : age;
 	r->requests_per_s = fade_at(&en->arrivals, EDGE_ARRIVALS_MS, now);
 	say_demands(en, r, now);
 	say_loads(en, r);
@@ -175,7 +176,7 @@
 /* It may have started just now, and know nothing of the endpoints. */
 static bool just_met(const struct prs_peer *p, int64_t now)
 {
-	return now - p->met_ms < JUST_MET_MS;
+	return now - p->boot_seen_ms < JUST_MET_MS;
 }
 
 static void send_to(struct edge *en, const struct prs_peer *p, int64_t now)
@@ -187,11 +188,11 @@
 	char bytes[GSP_MAX_BYTES];
 	size_t n;
 
-	prs_echo(p, &en->said, now);
-	en->said.with_counts = p->keeps_counts;
-	if (!p->keeps_counts)
+	prs_fill_echo(p, &en->said, now);
+	en->said.with_counts = p->collects_counts;
+	if (!p->collects_counts)
 		en->said.nr_counts = en->said.nr_tallies = 0;
-	if (!p->keeps_counts && !just_met(p, now))
+	if (!p->collects_counts && !just_met(p, now))
 		en->said.nr_services = 0;
 	if (!just_met(p, now) && fatal > en->nr_fatal_fresh + REPEATED_FATAL)
 		en->said.nr_fatal = en->nr_fatal_fresh + REPEATED_FATAL;
@@ -267,7 +268,7 @@
 static void hear(struct edge *en, const struct gsp_record *r, int64_t now)
 {
 	struct prs_peer *p =
-		prs_heard(&en->prs, r, now, truth_now(&en->truth, now));
+		prs_receive(&en->prs, r, now, truth_now(&en->truth, now));
 	int64_t at;
 	unsigned i;
 
@@ -280,10 +281,10 @@
 			    r->counts[i].window, r->counts[i].account,
 			    r->counts[i].runs);
 	for (i = 0; i < r->nr_services; i++)
-		learn_told(en, &r->services[i].told);
+		learn_told(en, &r->services[i].estimates);
 	edge_fatal_hear(en, r, now);
 	edge_rollout_hear(en, edge_source(p->info.name, p->boot), r, now);
-	at = prs_confirmed_at(r, en->boot);
+	at = prs_config_confirmed_ms(r, en->boot);
 	if (at)
 		force_confirm(&en->force, r->cfg_version, at);
 }
@@ -320,7 +321,7 @@
 		a->others = 0;
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		alive += prs_alive(p, now);
-		if (!p->last || now - p->heard_ms > PRS_FORGET_MS) {
+		if (!p->last || now - p->received_ms > PRS_EXPIRE_MS) {
 			t->unheard += p->registered;
 			continue;
 		}
@@ -330,7 +331,7 @@
 			a->others += p->last->demands[i].per_s;
 		}
 	}
-	t->entries = prs_sharing(&en->prs, now);
+	t->entries = prs_count_running(&en->prs, now);
 	t->current = alive + 1 > t->entries * CURRENT_PART;
 	t->told_ms = en->prs.count > ROUND_PEERS ? TELL_EACH_MS : ROUND_MS;
 	acct_tick(t, now);
@@ -390,14 +391,14 @@
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (n <= MAX_ESTIMATES && prs_alive(p, now))
-			ahead[n++] = p->ahead_ms;
+			ahead[n++] = p->clock_offset_ms;
 	}
 	by = truth_compare(&en->truth, ahead, n);
 	if (!by)
 		return;
 	/* What was heard is judged anew by the next datagrams. */
 	cds_list_for_each_entry(p, &en->prs.peers, node)
-		p->ahead_ms -= by;
+		p->clock_offset_ms -= by;
 	jlog_begin(en->log, JLOG_WARN, "clock_corrected");
 	jlog_int(en->log, "by_ms", by);
 	jlog_int(en->log, "estimates", (int64_t)n);
@@ -428,7 +429,7 @@
 	edge_peer_loads(en, now);
 	compare_clocks(en, now);
 	edge_inner_feed(en, now);
-	prs_forget(&en->prs, now);
+	prs_expire(&en->prs, now);
 }
 
 /* ---- Life ---- */
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "edge/edge_internal.h"
-#include "member/named.h"
+#include "member/advertise.h"
 
 /*
  * Entries that are told all counts beside the holder of the duties: what a
@@ -30,10 +30,10 @@
 	rank_init(&en->ranking, RANK_WATCH);
 	rank_add(&en->ranking, en->conf->name, en->conf->zone, NULL);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
-		if (prs_alive(p, now) && p->store_ok && p->taking)
+		if (prs_alive(p, now) && p->store_ok && p->accepting)
 			rank_add(&en->ranking, p->info.name, p->info.zone, p);
 	}
-	rank_first(&en->ranking, watchers(en));
+	rank_select(&en->ranking, watchers(en));
 }
 
 int edge_watch_place(struct edge *en, int64_t now)
@@ -56,7 +56,7 @@
 		return NULL;
 	n = watchers(en);
 	assert(n);
-	return rank_of_key(&en->ranking, n, en->source)->entry;
+	return rank_for_key(&en->ranking, n, en->source)->entry;
 }
 
 /* ---- Counts of usage ---- */
@@ -66,16 +66,16 @@
 	struct prs_peer *p;
 	size_t i;
 
-	rank_init(&en->ranking, RANK_COUNT);
+	rank_init(&en->ranking, RANK_USAGE);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
-		p->keeps_counts = !strcmp(p->info.name, en->duty_holder);
+		p->collects_counts = !strcmp(p->info.name, en->duty_holder);
 		if (prs_alive(p, now))
 			rank_add(&en->ranking, p->info.name, p->info.zone, p);
 	}
-	rank_first(&en->ranking, KEEPERS);
+	rank_select(&en->ranking, KEEPERS);
 	for (i = 0; i < en->ranking.n && i < KEEPERS; i++) {
 		p = en->ranking.rows[i].entry;
-		p->keeps_counts = true;
+		p->collects_counts = true;
 	}
 }
 
@@ -97,7 +97,7 @@
 {
 	const struct prs_peer *p = row->entry;
 
-	return p ? p->info.callers : en->conf->listen.callers;
+	return p ? p->info.client_address : en->conf->listen.callers;
 }
 
 /* If no entry is heard the cut may be ours: then all that are registered. */
@@ -109,7 +109,7 @@
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (n < max && p->registered)
-			out[n++] = p->info.callers;
+			out[n++] = p->info.client_address;
 	}
 	return n;
 }
@@ -120,17 +120,17 @@
 	struct prs_peer *p;
 	size_t named, first, n;
 
-	rank_init(r, RANK_NAME);
+	rank_init(r, RANK_ADVERTISE);
 	if (edge_taking(en))
 		rank_add(r, en->conf->name, en->conf->zone, NULL);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
-		if (prs_alive(p, now) && p->taking)
+		if (prs_alive(p, now) && p->accepting)
 			rank_add(r, p->info.name, p->info.zone, p);
 	}
 	if (!r->n)
 		return all_registered(en, out, max);
-	rank_spread(r);
-	named = named_count(load_of_all(en, now), r->n);
+	rank_interleave_zones(r);
+	named = advertise_count(load_of_all(en, now), r->n);
 	/* Of more than fit into an answer each answer has others. */
 	first = named > max ? rnd_below(&en->rnd, (uint32_t)named) : 0;
 	for (n = 0; n < named && n < max; n++)
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -284,7 +284,7 @@
 	struct edge *en = r->en;
 	const struct again_limits l = again_limits(en);
 	const int64_t now = edge_now(en);
-	const unsigned n = prs_sharing(&en->prs, now);
+	const unsigned n = prs_count_running(&en->prs, now);
 
 	if (!spend)
 		return again_has(budget_for(r), &l, n, now);
@@ -376,7 +376,7 @@
 	}
 	rq_init(&r->rq, r->route);
 	evs_init(&r->events);
-	again_earn(budget_for(r), &l, prs_sharing(&en->prs, now), now);
+	again_earn(budget_for(r), &l, prs_count_running(&en->prs, now), now);
 	arm_time_up(r);
 	edge_send(r);
 }
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -355,7 +355,8 @@
 
 	if (!ro->recorded || !rol_in_progress(&ro->record))
 		return;
-	for (i = 0; i < ro->own.nr_rows && out->nr_tallies < GSP_TALLIES; i++)
+	for (i = 0; i < ro->own.nr_rows && out->nr_tallies < GSP_MAX_TALLIES;
+	     i++)
 		out->tallies[out->nr_tallies++] = (struct gsp_tally){
 			.order = ro->own.order,
 			.row = ro->own.rows[i],
@@ -371,7 +372,7 @@
 		say_tally(ro, out);
 		if (ro->recorded && ro->record.stage == ROL_ROLLED_BACK &&
 		    true_now - ro->record.changed_ms < REPEAT_ROLLED_BACK_MS &&
-		    out->nr_rolled_back < GSP_ROLLED_BACK)
+		    out->nr_rolled_back < GSP_MAX_ROLLED_BACK)
 			out->rolled_back[out->nr_rolled_back++] =
 				rol_order_id(&ro->record);
 	}
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -209,8 +209,9 @@
 		if (!p->last || !prs_alive(p, now))
 			continue;
 		for (i = 0; i < p->last->nr_services; i++) {
-			if (p->last->services[i].told.service == s->hash)
-				sum += p->last->services[i].reads_per_s;
+			if (p->last->services[i].estimates.service == s->hash)
+				sum += p->last->services[i]
+					       .prefill_tokens_per_s;
 		}
 	}
 	return sum;
@@ -232,7 +233,8 @@
 		if (!p->last || !prs_alive(p, now))
 			continue;
 		for (i = 0; i < p->last->nr_services; i++) {
-			const struct svc_told *t = &p->last->services[i].told;
+			const struct svc_told *t =
+				&p->last->services[i].estimates;
 
 			if (t->service == s->hash)
 				svc_slope_add(&mean, t->first[SVC_READ_MS],
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -97,9 +97,11 @@
 	if (!strcmp(info.name, en->conf->name))
 		return;
 	str_copy(info.zone, jsn_str(o, "zone", ""), sizeof(info.zone));
-	str_copy(info.callers, jsn_str(o, "callers", ""), sizeof(info.callers));
-	str_copy(info.peers, jsn_str(o, "peers", ""), sizeof(info.peers));
-	if (!prs_registered(&en->prs, &info, edge_now(en))) {
+	str_copy(info.client_address, jsn_str(o, "callers", ""),
+		 sizeof(info.client_address));
+	str_copy(info.peer_address, jsn_str(o, "peers", ""),
+		 sizeof(info.peer_address));
+	if (!prs_register(&en->prs, &info, edge_now(en))) {
 		edge_unreadable(en, key, "no address of the entry");
 		return;
 	}
@@ -189,8 +191,7 @@
 			log_endpoint(en, e,
 				     e->hold_ms > now ? "lapsed" : "unlisted");
 	} else if (begins(key, EDGE_ENTRY_PREFIX)) {
-		prs_unregistered(&en->prs, key + strlen(EDGE_ENTRY_PREFIX),
-				 now);
+		prs_unregister(&en->prs, key + strlen(EDGE_ENTRY_PREFIX), now);
 	} else if (!strcmp(key, EDGE_ERA_KEY)) {
 		edge_era_gone(en);
 	} else if (begins(key, EDGE_FATAL_PREFIX)) {
--- a/lib/entry/ent_member.c
+++ b/lib/entry/ent_member.c
@@ -99,10 +99,10 @@
 
 	for (i = 0; i < n && k < max; i++) {
 		if (rows[i].state > SWIM_DEAD ||
-		    !ent_read_member(&rows[i].who, &out[k].who))
+		    !ent_read_member(&rows[i].who, &out[k].member))
 			continue;
 		out[k].state = (enum swim_state)rows[i].state;
-		out[k++].refute = rows[i].refute;
+		out[k++].refutations = rows[i].refute;
 	}
 	return k;
 }
@@ -115,9 +115,9 @@
 	*rows = mem_new(n * sizeof(**rows));
 	*len = (u_int)n;
 	for (i = 0; i < n; i++) {
-		ent_fill_member(&d[i].who, &(*rows)[i].who);
+		ent_fill_member(&d[i].member, &(*rows)[i].who);
 		(*rows)[i].state = d[i].state;
-		(*rows)[i].refute = d[i].refute;
+		(*rows)[i].refute = d[i].refutations;
 	}
 }
 
@@ -466,7 +466,7 @@
 
 	pthread_mutex_lock(&en->member_lock);
 	for (i = 0; i < k; i++)
-		changed |= old_news ? swim_learn(en->swim, &d[i], now)
+		changed |= old_news ? swim_apply_quietly(en->swim, &d[i], now)
 				    : swim_apply(en->swim, &d[i], now);
 	pthread_mutex_unlock(&en->member_lock);
 	return changed;
@@ -505,20 +505,20 @@
 	struct entry *en = p->en;
 	struct swim_delta d;
 
-	if (why != ERR_NONE || !ent_read_member(&r->who, &d.who)) {
+	if (why != ERR_NONE || !ent_read_member(&r->who, &d.member)) {
 		free(p);
 		return;
 	}
 	apply_deltas(en, r->deltas.deltas_val, r->deltas.deltas_len,
 		     p->joining);
 	d.state = SWIM_ALIVE;
-	d.refute = 0;
+	d.refutations = 0;
 	pthread_mutex_lock(&en->member_lock);
 	swim_apply(en->swim, &d, ent_now(en));
-	swim_ack(en->swim, d.who.id, ent_now(en));
+	swim_ack(en->swim, d.member.id, ent_now(en));
 	pthread_mutex_unlock(&en->member_lock);
 	if (*p->vouch_for)
-		vouch(en, p->vouch_for, d.who.id);
+		vouch(en, p->vouch_for, d.member.id);
 	ent_pull_recent(en, p->address, r->recent.recent_val,
 			r->recent.recent_len);
 	if (wants_sync(en, r->digest))
@@ -590,7 +590,7 @@
 	pthread_mutex_unlock(&en->member_lock);
 	if (a.kind == SWIM_DO_PROBE)
 		probe(en, &a.target, "");
-	else if (a.kind == SWIM_DO_HELP)
+	else if (a.kind == SWIM_DO_INDIRECT_PROBE)
 		ask_help(en, &a);
 }
 
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -51,7 +51,7 @@
 {
 	struct swim_delta d = { .state = SWIM_ALIVE };
 
-	if (!ent_read_member(who, &d.who))
+	if (!ent_read_member(who, &d.member))
 		return;
 	pthread_mutex_lock(&serving->member_lock);
 	swim_apply(serving->swim, &d, ent_now(serving));
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -152,9 +152,9 @@
 	pthread_mutex_unlock(&en->member_lock);
 	s->members = mem_new(n * sizeof(*s->members));
 	for (i = 0; i < n; i++) {
-		s->members[i].who = all[i].who;
-		s->members[i].who.id =
-			view_instance_id(all[i].who.name, all[i].who.boot);
+		s->members[i].who = all[i].member;
+		s->members[i].who.id = view_instance_id(all[i].member.name,
+							all[i].member.boot);
 		s->members[i].state = all[i].state;
 	}
 	s->nr_members = n;
--- a/lib/member/named.c
+++ b/lib/member/advertise.c
@@ -1,4 +1,4 @@
-#include "member/named.h"
+#include "member/advertise.h"
 
 /*
  * A request costs an entry about 0.7 ms of a processor, and the smallest
@@ -14,7 +14,7 @@
  */
 #define NAMED_LEAST 24
 
-size_t named_count(double requests_per_s, size_t taking)
+size_t advertise_count(double requests_per_s, size_t taking)
 {
 	const double need = requests_per_s / REQUESTS_EACH_PER_S;
 	size_t n = NAMED_LEAST;
--- a/lib/member/named.h
+++ b/lib/member/advertise.h
@@ -7,12 +7,12 @@
  * knows the load only by gossip. So only as many are named as the load needs;
  * the others stand by, ready.
  */
-#ifndef NAMED_H
-#define NAMED_H
+#ifndef ADVERTISE_H
+#define ADVERTISE_H
 
 #include <stddef.h>
 
 /* Of `taking` entries that take requests, for this load, so many are named. */
-size_t named_count(double requests_per_s, size_t taking);
+size_t advertise_count(double requests_per_s, size_t taking);
 
 #endif
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -10,7 +10,7 @@
 
 static bool_t xdr_name(XDR *x, char *name)
 {
-	return xdr_string(x, &name, GSP_NAME - 1);
+	return xdr_string(x, &name, GSP_NAME_SIZE - 1);
 }
 
 static bool_t xdr_i64(XDR *x, int64_t *v)
@@ -35,9 +35,9 @@
 	return xdr_uint32_t(x, &magic) && magic == GSP_MAGIC &&
 	       xdr_name(x, r->name) && xdr_uint64_t(x, &r->boot) &&
 	       xdr_uint32_t(x, &r->seq) && xdr_i64(x, &r->stamp_ms) &&
-	       xdr_i64(x, &r->true_ms) && xdr_flag(x, &r->taking) &&
+	       xdr_i64(x, &r->true_ms) && xdr_flag(x, &r->accepting) &&
 	       xdr_flag(x, &r->store_ok) && xdr_i64(x, &r->cfg_version) &&
-	       xdr_i64(x, &r->fresh_age_ms) &&
+	       xdr_i64(x, &r->cfg_confirmed_age_ms) &&
 	       xdr_double(x, &r->requests_per_s) &&
 	       xdr_flag(x, &r->with_counts) && xdr_uint64_t(x, &r->echo_boot) &&
 	       xdr_i64(x, &r->echo_stamp_ms) && xdr_i64(x, &r->echo_hold_ms);
@@ -47,7 +47,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_demands) || r->nr_demands > GSP_ACCOUNTS)
+	if (!xdr_u_int(x, &r->nr_demands) || r->nr_demands > GSP_MAX_DEMANDS)
 		return FALSE;
 	for (i = 0; i < r->nr_demands; i++) {
 		if (!xdr_name(x, r->demands[i].account) ||
@@ -61,7 +61,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_loads) || r->nr_loads > GSP_LOADS)
+	if (!xdr_u_int(x, &r->nr_loads) || r->nr_loads > GSP_MAX_LOADS)
 		return FALSE;
 	for (i = 0; i < r->nr_loads; i++) {
 		if (!xdr_uint64_t(x, &r->loads[i].endpoint) ||
@@ -96,9 +96,10 @@
 
 static bool_t xdr_service(XDR *x, struct gsp_service *s)
 {
-	struct svc_told *t = &s->told;
+	struct svc_told *t = &s->estimates;
 
-	return xdr_uint64_t(x, &t->service) && xdr_figure(x, &s->reads_per_s) &&
+	return xdr_uint64_t(x, &t->service) &&
+	       xdr_figure(x, &s->prefill_tokens_per_s) &&
 	       xdr_figure(x, &t->samples) &&
 	       xdr_figures(x, t->first, SVC_FIRST_COEFS) &&
 	       xdr_figure(x, &t->first_off) &&
@@ -112,7 +113,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_services) || r->nr_services > GSP_SERVICES)
+	if (!xdr_u_int(x, &r->nr_services) || r->nr_services > GSP_MAX_SERVICES)
 		return FALSE;
 	for (i = 0; i < r->nr_services; i++) {
 		if (!xdr_service(x, &r->services[i]))
@@ -125,7 +126,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_counts) || r->nr_counts > GSP_COUNTS)
+	if (!xdr_u_int(x, &r->nr_counts) || r->nr_counts > GSP_MAX_COUNTS)
 		return FALSE;
 	for (i = 0; i < r->nr_counts; i++) {
 		if (!xdr_uint64_t(x, &r->counts[i].source) ||
@@ -190,14 +191,14 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_tallies) || r->nr_tallies > GSP_TALLIES)
+	if (!xdr_u_int(x, &r->nr_tallies) || r->nr_tallies > GSP_MAX_TALLIES)
 		return FALSE;
 	for (i = 0; i < r->nr_tallies; i++) {
 		if (!xdr_tally(x, &r->tallies[i]))
 			return FALSE;
 	}
 	if (!xdr_u_int(x, &r->nr_rolled_back) ||
-	    r->nr_rolled_back > GSP_ROLLED_BACK)
+	    r->nr_rolled_back > GSP_MAX_ROLLED_BACK)
 		return FALSE;
 	for (i = 0; i < r->nr_rolled_back; i++) {
 		if (!xdr_uint64_t(x, &r->rolled_back[i]))
@@ -259,8 +260,8 @@
 			return false;
 	}
 	for (i = 0; i < r->nr_services; i++) {
-		if (!isfinite(r->services[i].reads_per_s) ||
-		    r->services[i].reads_per_s < 0)
+		if (!isfinite(r->services[i].prefill_tokens_per_s) ||
+		    r->services[i].prefill_tokens_per_s < 0)
 			return false;
 	}
 	return isfinite(r->requests_per_s) && r->requests_per_s >= 0;
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -17,17 +17,17 @@
 #include "request/fatal.h"
 #include "rollout/tally.h"
 
-#define GSP_NAME 64
-#define GSP_ACCOUNTS 64
-#define GSP_LOADS 128
-#define GSP_SERVICES 8
-#define GSP_COUNTS 96 /* windows x accounts */
-#define GSP_TALLIES 96
-#define GSP_ROLLED_BACK 8
+#define GSP_NAME_SIZE 64
+#define GSP_MAX_DEMANDS 64
+#define GSP_MAX_LOADS 128
+#define GSP_MAX_SERVICES 8
+#define GSP_MAX_COUNTS 96 /* windows x accounts */
+#define GSP_MAX_TALLIES 96
+#define GSP_MAX_ROLLED_BACK 8
 #define GSP_MAX_BYTES 8192
 
 struct gsp_demand {
-	char account[GSP_NAME];
+	char account[GSP_NAME_SIZE];
 	double per_s;
 };
 
@@ -40,14 +40,14 @@
 struct gsp_count {
 	uint64_t source; /* hash of the name and boot of who counted */
 	int64_t window;
-	char account[GSP_NAME];
+	char account[GSP_NAME_SIZE];
 	int64_t runs;
 };
 
 /* Of a service: our load, and what its answers showed us. */
 struct gsp_service {
-	double reads_per_s; /* prompt tokens to be read, of our requests */
-	struct svc_told told;
+	double prefill_tokens_per_s; /* prompt tokens to be read, of our requests */
+	struct svc_told estimates;
 };
 
 /* Outcomes of the sender's requests in a roll-out in progress. */
@@ -57,15 +57,15 @@
 };
 
 struct gsp_record {
-	char name[GSP_NAME];
+	char name[GSP_NAME_SIZE];
 	uint64_t boot; /* drawn at the start of the process */
 	uint32_t seq;
 	int64_t stamp_ms; /* sender's clock, for the receiver's echo */
 	int64_t true_ms;  /* sender's estimate of the time of day */
-	bool taking;	  /* takes new requests */
+	bool accepting;	  /* takes new requests */
 	bool store_ok;	  /* reaches the store itself */
 	int64_t cfg_version;
-	int64_t fresh_age_ms; /* since it was known to be the newest; -1: never */
+	int64_t cfg_confirmed_age_ms; /* since it was known to be the newest; -1: never */
 	double requests_per_s;
 	int64_t store_era; /* as the sender knows it */
 	bool with_counts;  /* `counts` holds all that the sender knows */
@@ -76,14 +76,14 @@
 
 	unsigned nr_demands, nr_loads, nr_services, nr_counts, nr_fatal;
 	unsigned nr_tallies, nr_rolled_back;
-	struct gsp_demand demands[GSP_ACCOUNTS];
-	struct gsp_load loads[GSP_LOADS];
-	struct gsp_service services[GSP_SERVICES];
-	struct gsp_count counts[GSP_COUNTS];
+	struct gsp_demand demands[GSP_MAX_DEMANDS];
+	struct gsp_load loads[GSP_MAX_LOADS];
+	struct gsp_service services[GSP_MAX_SERVICES];
+	struct gsp_count counts[GSP_MAX_COUNTS];
 	struct fatal_told
 		fatal[FATAL_MAX_TOLD]; /* requests that end endpoints */
-	struct gsp_tally tallies[GSP_TALLIES];
-	uint64_t rolled_back[GSP_ROLLED_BACK]; /* orders */
+	struct gsp_tally tallies[GSP_MAX_TALLIES];
+	uint64_t rolled_back[GSP_MAX_ROLLED_BACK]; /* orders */
 };
 
 /*
--- a/lib/member/prs.c
+++ b/lib/member/prs.c
@@ -55,36 +55,36 @@
 	return peer;
 }
 
-struct prs_peer *prs_registered(struct prs *p, const struct prs_info *info,
-				int64_t now)
+struct prs_peer *prs_register(struct prs *p, const struct prs_info *info,
+			      int64_t now)
 {
 	struct prs_peer *peer = prs_find(p, info->name);
 	struct sockaddr_in addr;
 
 	(void)now;
-	if (ioc_address(info->peers, &addr, NULL))
+	if (ioc_address(info->peer_address, &addr, NULL))
 		return NULL;
 	if (!peer)
 		peer = add(p, info);
 	peer->info = *info;
 	peer->addr = addr;
 	peer->registered = true;
-	peer->lapsed_ms = 0;
+	peer->unregistered_ms = 0;
 	return peer;
 }
 
-void prs_unregistered(struct prs *p, const char *name, int64_t now)
+void prs_unregister(struct prs *p, const char *name, int64_t now)
 {
 	struct prs_peer *peer = prs_find(p, name);
 
 	if (!peer || !peer->registered)
 		return;
 	peer->registered = false;
-	peer->lapsed_ms = now;
+	peer->unregistered_ms = now;
 }
 
-struct prs_peer *prs_heard(struct prs *p, const struct gsp_record *r,
-			   int64_t now, int64_t now_true)
+struct prs_peer *prs_receive(struct prs *p, const struct gsp_record *r,
+			     int64_t now, int64_t now_true)
 {
 	struct prs_peer *peer = prs_find(p, r->name);
 
@@ -93,16 +93,16 @@
 	if (peer->boot == r->boot && r->seq <= peer->seq)
 		return NULL;
 	if (peer->boot != r->boot)
-		peer->met_ms = now;
+		peer->boot_seen_ms = now;
 	peer->boot = r->boot;
 	peer->seq = r->seq;
 	peer->stamp_ms = r->stamp_ms;
-	peer->heard_ms = now;
-	peer->taking = r->taking;
+	peer->received_ms = now;
+	peer->accepting = r->accepting;
 	peer->store_ok = r->store_ok;
-	peer->ahead_ms = r->true_ms - now_true;
+	peer->clock_offset_ms = r->true_ms - now_true;
 	if (r->with_counts)
-		peer->counted_true_ms = r->true_ms;
+		peer->counts_true_ms = r->true_ms;
 	if (!peer->last)
 		peer->last = malloc(sizeof(*peer->last));
 	assert(peer->last);
@@ -110,47 +110,49 @@
 	return peer;
 }
 
-int64_t prs_confirmed_at(const struct gsp_record *r, uint64_t my_boot)
+int64_t prs_config_confirmed_ms(const struct gsp_record *r, uint64_t my_boot)
 {
-	if (r->fresh_age_ms < 0 || r->echo_boot != my_boot || !my_boot)
+	if (r->cfg_confirmed_age_ms < 0 || r->echo_boot != my_boot || !my_boot)
 		return 0;
-	return r->echo_stamp_ms + r->echo_hold_ms - r->fresh_age_ms;
+	return r->echo_stamp_ms + r->echo_hold_ms - r->cfg_confirmed_age_ms;
 }
 
-void prs_echo(const struct prs_peer *peer, struct gsp_record *r, int64_t now)
+void prs_fill_echo(const struct prs_peer *peer, struct gsp_record *r,
+		   int64_t now)
 {
 	r->echo_boot = peer->boot;
 	r->echo_stamp_ms = peer->stamp_ms;
-	r->echo_hold_ms = now - peer->heard_ms;
+	r->echo_hold_ms = now - peer->received_ms;
 }
 
 bool prs_alive(const struct prs_peer *peer, int64_t now)
 {
-	return peer->heard_ms && now - peer->heard_ms < PRS_SILENT_MS;
+	return peer->received_ms && now - peer->received_ms < PRS_ALIVE_MS;
 }
 
-unsigned prs_sharing(const struct prs *p, int64_t now)
+unsigned prs_count_running(const struct prs *p, int64_t now)
 {
 	const struct prs_peer *peer;
 	unsigned n = 1;
 
 	cds_list_for_each_entry(peer, &p->peers, node) {
 		if (peer->registered ||
-		    (peer->heard_ms && now - peer->heard_ms < PRS_FORGET_MS))
+		    (peer->received_ms &&
+		     now - peer->received_ms < PRS_EXPIRE_MS))
 			n++;
 	}
 	return n;
 }
 
-void prs_forget(struct prs *p, int64_t now)
+void prs_expire(struct prs *p, int64_t now)
 {
 	struct prs_peer *peer, *next;
 
 	cds_list_for_each_entry_safe(peer, next, &p->peers, node) {
 		if (peer->registered)
 			continue;
-		if (now - peer->lapsed_ms > PRS_FORGET_MS &&
-		    now - peer->heard_ms > PRS_FORGET_MS)
+		if (now - peer->unregistered_ms > PRS_EXPIRE_MS &&
+		    now - peer->received_ms > PRS_EXPIRE_MS)
 			drop(p, peer);
 	}
 }
--- a/lib/member/prs.h
+++ b/lib/member/prs.h
@@ -22,19 +22,19 @@
  * datagrams in a row were lost, which with 3 in 100 lost is one in 40
  * million, or it is gone.
  */
-#define PRS_SILENT_MS 1000
+#define PRS_ALIVE_MS 1000
 
 /*
  * So long the facts of a silent entry (its part of the limits) still count:
  * it may live behind a cut.
  */
-#define PRS_FORGET_MS 10000
+#define PRS_EXPIRE_MS 10000
 
 struct prs_info {
-	char name[GSP_NAME];
-	char zone[GSP_NAME];
-	char callers[32]; /* IP:PORT where callers connect */
-	char peers[32];	  /* IP:PORT for datagrams and calls of peers */
+	char name[GSP_NAME_SIZE];
+	char zone[GSP_NAME_SIZE];
+	char client_address[32]; /* IP:PORT where callers connect */
+	char peer_address[32];	 /* IP:PORT for datagrams and calls of peers */
 };
 
 struct prs_peer {
@@ -43,16 +43,16 @@
 	struct prs_info info;
 	struct sockaddr_in addr; /* info.peers */
 	bool registered;
-	int64_t heard_ms;  /* 0: never */
-	int64_t lapsed_ms; /* registration lost; 0: not */
+	int64_t received_ms;	 /* 0: never */
+	int64_t unregistered_ms; /* registration lost; 0: not */
 	uint64_t boot;
-	int64_t met_ms; /* this boot was first heard */
+	int64_t boot_seen_ms; /* this boot was first heard */
 	uint32_t seq;
 	int64_t stamp_ms; /* of its last datagram, to be echoed */
-	bool taking, store_ok;
-	bool keeps_counts; /* is told all counts of usage */
-	int64_t ahead_ms;  /* its estimate of the time of day against ours */
-	int64_t counted_true_ms; /* its time of day when it last told counts */
+	bool accepting, store_ok;
+	bool collects_counts;	 /* is told all counts of usage */
+	int64_t clock_offset_ms; /* its estimate of the time of day against ours */
+	int64_t counts_true_ms;	 /* its time of day when it last told counts */
 	struct gsp_record *last; /* what it last told; NULL: nothing */
 };
 
@@ -66,34 +66,34 @@
 void prs_free(struct prs *p);
 
 /* The store has this registration. Returns the peer. */
-struct prs_peer *prs_registered(struct prs *p, const struct prs_info *info,
-				int64_t now_ms);
-void prs_unregistered(struct prs *p, const char *name, int64_t now_ms);
+struct prs_peer *prs_register(struct prs *p, const struct prs_info *info,
+			      int64_t now_ms);
+void prs_unregister(struct prs *p, const char *name, int64_t now_ms);
 
 /*
  * A datagram came. Returns its sender if it is known and the datagram is the
  * newest of that sender, else NULL.
  */
-struct prs_peer *prs_heard(struct prs *p, const struct gsp_record *r,
-			   int64_t now_ms, int64_t now_true_ms);
+struct prs_peer *prs_receive(struct prs *p, const struct gsp_record *r,
+			     int64_t now_ms, int64_t now_true_ms);
 
 /*
  * When the version that `r` names was the newest, in our time, at the
  * earliest: from the echo of our own stamp. 0: cannot be told.
  */
-int64_t prs_confirmed_at(const struct gsp_record *r, uint64_t my_boot);
+int64_t prs_config_confirmed_ms(const struct gsp_record *r, uint64_t my_boot);
 
 /* Fills in the echo for this receiver. */
-void prs_echo(const struct prs_peer *peer, struct gsp_record *r,
-	      int64_t now_ms);
+void prs_fill_echo(const struct prs_peer *peer, struct gsp_record *r,
+		   int64_t now_ms);
 
 bool prs_alive(const struct prs_peer *peer, int64_t now_ms);
 
 /* Entries that share the limits: we, and all that may be running. */
-unsigned prs_sharing(const struct prs *p, int64_t now_ms);
+unsigned prs_count_running(const struct prs *p, int64_t now_ms);
 
 /* Drops those that are neither registered nor heard for long. */
-void prs_forget(struct prs *p, int64_t now_ms);
+void prs_expire(struct prs *p, int64_t now_ms);
 
 struct prs_peer *prs_find(struct prs *p, const char *name);
 
--- a/lib/member/rank.c
+++ b/lib/member/rank.c
@@ -34,8 +34,8 @@
 {
 	const struct rank_row *x = a, *y = b;
 
-	if (x->turn != y->turn)
-		return x->turn < y->turn ? -1 : 1;
+	if (x->zone_rank != y->zone_rank)
+		return x->zone_rank < y->zone_rank ? -1 : 1;
 	return by_weight(a, b);
 }
 
@@ -64,7 +64,7 @@
 	r->rows[at] = row;
 }
 
-void rank_first(struct rank *r, size_t k)
+void rank_select(struct rank *r, size_t k)
 {
 	size_t i;
 
@@ -76,7 +76,8 @@
 	}
 }
 
-const struct rank_row *rank_of_key(const struct rank *r, size_t n, uint64_t key)
+const struct rank_row *rank_for_key(const struct rank *r, size_t n,
+				    uint64_t key)
 {
 	const struct rank_row *best = &r->rows[0];
 	uint64_t most = hsh_rendezvous(key, best->weight), weight;
@@ -92,7 +93,7 @@
 	return best;
 }
 
-void rank_spread(struct rank *r)
+void rank_interleave_zones(struct rank *r)
 {
 	size_t i;
 
@@ -101,7 +102,7 @@
 		const bool same = i &&
 				  !strcmp(r->rows[i].zone, r->rows[i - 1].zone);
 
-		r->rows[i].turn = same ? r->rows[i - 1].turn + 1 : 0;
+		r->rows[i].zone_rank = same ? r->rows[i - 1].zone_rank + 1 : 0;
 	}
 	qsort(r->rows, r->n, sizeof(r->rows[0]), by_turn);
 }
--- a/lib/member/rank.h
+++ b/lib/member/rank.h
@@ -16,16 +16,16 @@
 #define RANK_MAX 1024
 
 enum rank_purpose {
-	RANK_WATCH, /* watch the store, and ask it for the configuration */
-	RANK_COUNT, /* keep all counts, beside the holder of the duties */
-	RANK_NAME,  /* are named to callers */
+	RANK_WATCH,	/* watch the store, and ask it for the configuration */
+	RANK_USAGE,	/* keep all counts, beside the holder of the duties */
+	RANK_ADVERTISE, /* are named to callers */
 };
 
 struct rank_row {
 	const char *zone;
 	void *entry; /* the caller's; NULL may stand for ourselves */
 	uint64_t weight;
-	unsigned turn; /* filled in by rank_spread */
+	unsigned zone_rank; /* filled in by rank_interleave_zones */
 };
 
 struct rank {
@@ -47,20 +47,20 @@
  * told. A few of many are looked for some ten times a second: sorting 295
  * entries each time took a tenth of an entry's processor time.
  */
-void rank_first(struct rank *r, size_t k);
+void rank_select(struct rank *r, size_t k);
 
 /*
  * Which of the first `n` rows, 1 at least, stands for `key`. When one of them
  * goes or another one joins, only the keys that it had or gets change: counted
  * off by the remainder instead, all of them would.
  */
-const struct rank_row *rank_of_key(const struct rank *r, size_t n,
-				   uint64_t key);
+const struct rank_row *rank_for_key(const struct rank *r, size_t n,
+				    uint64_t key);
 
 /*
  * The best of each zone first, then the second of each, and so on: a zone
  * that is lost takes no more than its part of those in front.
  */
-void rank_spread(struct rank *r);
+void rank_interleave_zones(struct rank *r);
 
 #endif
--- a/lib/member/swim.c
+++ b/lib/member/swim.c
@@ -64,7 +64,7 @@
 		.helpers = 3,
 		.suspect_mult = 1,
 		.spread_mult = 3,
-		.forget_ms = 120000,
+		.keep_dead_ms = 120000,
 	};
 
 	return c;
@@ -213,9 +213,9 @@
 static bool is_newer(const struct peer *p, const struct swim_delta *d)
 {
 	if (p->state == SWIM_DEAD)
-		return d->state != SWIM_DEAD && d->refute > p->refute;
-	if (d->refute != p->refute)
-		return d->refute > p->refute;
+		return d->state != SWIM_DEAD && d->refutations > p->refute;
+	if (d->refutations != p->refute)
+		return d->refutations > p->refute;
 	return d->state > p->state;
 }
 
@@ -223,9 +223,9 @@
 {
 	if (d->state != SWIM_SUSPECT && d->state != SWIM_DEAD)
 		return false;
-	if (d->refute < s->self_refute)
+	if (d->refutations < s->self_refute)
 		return false;
-	s->self_refute = d->refute + 1;
+	s->self_refute = d->refutations + 1;
 	s->self_sends = s->cfg.spread_mult * log2_up(s->nr + 1);
 	if (s->health < MAX_HEALTH)
 		s->health++;
@@ -234,7 +234,7 @@
 
 bool swim_apply(struct swim *s, const struct swim_delta *d, int64_t now_ms)
 {
-	struct view_member who = d->who;
+	struct view_member who = d->member;
 	struct peer *p;
 
 	if (!*who.name || d->state > SWIM_DEAD)
@@ -249,16 +249,17 @@
 			return false;
 		p = add_peer(s, &who, now_ms);
 		bury_older(s, &who, now_ms);
-		set_state(s, p, d->state, d->refute, now_ms);
+		set_state(s, p, d->state, d->refutations, now_ms);
 		return true;
 	}
 	if (!is_newer(p, d))
 		return false;
-	set_state(s, p, d->state, d->refute, now_ms);
+	set_state(s, p, d->state, d->refutations, now_ms);
 	return true;
 }
 
-bool swim_learn(struct swim *s, const struct swim_delta *d, int64_t now_ms)
+bool swim_apply_quietly(struct swim *s, const struct swim_delta *d,
+			int64_t now_ms)
 {
 	bool changed;
 
@@ -295,9 +296,9 @@
 	cds_list_for_each_entry_safe(p, tmp, &s->news, news) {
 		if (n == max)
 			break;
-		out[n].who = p->who;
+		out[n].member = p->who;
 		out[n].state = p->state;
-		out[n++].refute = p->refute;
+		out[n++].refutations = p->refute;
 		cds_list_del(&p->news);
 		p->in_news = false;
 		if (--p->sends_left) {
@@ -320,9 +321,9 @@
 	for (i = 0; i < s->nr && n < max; i++) {
 		if (s->peers[i]->state == SWIM_DEAD)
 			continue;
-		out[n].who = s->peers[i]->who;
+		out[n].member = s->peers[i]->who;
 		out[n].state = s->peers[i]->state;
-		out[n++].refute = s->peers[i]->refute;
+		out[n++].refutations = s->peers[i]->refute;
 	}
 	return n;
 }
@@ -346,7 +347,8 @@
 
 		if (p->state == SWIM_SUSPECT && age >= bound) {
 			set_state(s, p, SWIM_DEAD, p->refute, now_ms);
-		} else if (p->state == SWIM_DEAD && age >= s->cfg.forget_ms) {
+		} else if (p->state == SWIM_DEAD &&
+			   age >= s->cfg.keep_dead_ms) {
 			drop_peer(s, i);
 			continue;
 		}
@@ -400,7 +402,8 @@
 
 static struct swim_action ask_helpers(struct swim *s, const struct peer *p)
 {
-	struct swim_action a = { .kind = SWIM_DO_HELP, .target = p->who };
+	struct swim_action a = { .kind = SWIM_DO_INDIRECT_PROBE,
+				 .target = p->who };
 	struct view_member picked[4];
 	const size_t n = swim_pick(s, picked,
 				   s->cfg.helpers < 4 ? s->cfg.helpers + 1 : 4);
@@ -496,9 +499,9 @@
 
 	if (!p)
 		return false;
-	out->who = p->who;
+	out->member = p->who;
 	out->state = p->state;
-	out->refute = p->refute;
+	out->refutations = p->refute;
 	return true;
 }
 
--- a/lib/member/swim.h
+++ b/lib/member/swim.h
@@ -30,9 +30,9 @@
 
 /* What one entry says of another; also the form it travels in. */
 struct swim_delta {
-	struct view_member who;
+	struct view_member member;
 	enum swim_state state;
-	uint32_t refute; /* raised only by `who` itself */
+	uint32_t refutations; /* raised only by `who` itself */
 };
 
 struct swim_config {
@@ -41,7 +41,7 @@
 	unsigned helpers;      /* how many others are asked */
 	unsigned suspect_mult; /* bound = mult * log2(n + 1) * period */
 	unsigned spread_mult;  /* a delta travels mult * log2(n + 1) times */
-	int64_t forget_ms;     /* the dead are kept so long */
+	int64_t keep_dead_ms;  /* the dead are kept so long */
 };
 
 /* Sizes that suit loopback, a zone and a region alike. */
@@ -49,8 +49,8 @@
 
 enum swim_action_kind {
 	SWIM_DO_NOTHING,
-	SWIM_DO_PROBE, /* probe `target` */
-	SWIM_DO_HELP,  /* ask `helpers` to probe `target` */
+	SWIM_DO_PROBE,		/* probe `target` */
+	SWIM_DO_INDIRECT_PROBE, /* ask `helpers` to probe `target` */
 };
 
 struct swim_action {
@@ -86,7 +86,8 @@
 
 /* The same for what is old news to others (a first contact's tale): taken in
  * but not passed on. */
-bool swim_learn(struct swim *s, const struct swim_delta *d, int64_t now_ms);
+bool swim_apply_quietly(struct swim *s, const struct swim_delta *d,
+			int64_t now_ms);
 
 /* Marks this entry as leaving, which is spread like any news. */
 void swim_leave(struct swim *s);
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -180,15 +180,15 @@
 		swim_apply(n->s[b], &d[i], n->now);
 	k = swim_knows(n->s[b], n->m[a].id) ? swim_take_deltas(n->s[b], d, 6)
 					    : swim_snapshot(n->s[b], d, 64);
-	d[k].who = n->m[a];
+	d[k].member = n->m[a];
 	d[k].state = SWIM_ALIVE;
-	d[k].refute = 0;
+	d[k].refutations = 0;
 	swim_apply(n->s[b], &d[k], n->now);
 	for (i = 0; i < k; i++)
 		swim_apply(n->s[a], &d[i], n->now);
-	d[0].who = n->m[b];
+	d[0].member = n->m[b];
 	d[0].state = SWIM_ALIVE;
-	d[0].refute = 0;
+	d[0].refutations = 0;
 	swim_apply(n->s[a], &d[0], n->now);
 	swim_ack(n->s[a], n->m[b].id, n->now);
 	return true;
@@ -201,7 +201,7 @@
 
 	if (a.kind == SWIM_DO_PROBE)
 		exchange(n, i, index_of(n, a.target.peer));
-	for (h = 0; a.kind == SWIM_DO_HELP && h < a.nr_helpers; h++) {
+	for (h = 0; a.kind == SWIM_DO_INDIRECT_PROBE && h < a.nr_helpers; h++) {
 		const int helper = index_of(n, a.helpers[h].peer);
 		const int target = index_of(n, a.target.peer);
 
@@ -310,7 +310,7 @@
 	int i;
 
 	open_net(&n);
-	d.who = n.m[4];
+	d.member = n.m[4];
 	swim_apply(n.s[0], &d, n.now);
 	CU_ASSERT_EQUAL(swim_state_of(n.s[0], n.m[4].id), SWIM_SUSPECT);
 	run(&n, 20000);
@@ -326,17 +326,17 @@
 	struct net n;
 
 	open_net(&n);
-	d.who = n.m[6];
-	d.who.boot += 1000;
+	d.member = n.m[6];
+	d.member.boot += 1000;
 	CU_ASSERT(swim_apply(n.s[0], &d, n.now));
 	CU_ASSERT_EQUAL(swim_state_of(n.s[0], n.m[6].id), SWIM_DEAD);
 	/* News of a still older one change nothing. */
-	d.who.boot = 1;
+	d.member.boot = 1;
 	swim_apply(n.s[0], &d, n.now);
-	d.who = n.m[6];
-	d.who.boot += 1000;
-	d.who.id = view_instance_id(d.who.name, d.who.boot);
-	CU_ASSERT_EQUAL(swim_state_of(n.s[0], d.who.id), SWIM_ALIVE);
+	d.member = n.m[6];
+	d.member.boot += 1000;
+	d.member.id = view_instance_id(d.member.name, d.member.boot);
+	CU_ASSERT_EQUAL(swim_state_of(n.s[0], d.member.id), SWIM_ALIVE);
 	close_net(&n);
 }
 
@@ -361,11 +361,11 @@
 
 	open_net(&n);
 	CU_ASSERT(!swim_apply(n.s[0], &d, n.now));
-	d.who = n.m[1];
+	d.member = n.m[1];
 	d.state = (enum swim_state)77;
 	CU_ASSERT(!swim_apply(n.s[0], &d, n.now));
 	d.state = SWIM_DEAD;
-	strcpy(d.who.name, "stranger");
+	strcpy(d.member.name, "stranger");
 	CU_ASSERT(!swim_apply(n.s[0], &d, n.now));
 	close_net(&n);
 }
--- a/tests/test_prs.c
+++ b/tests/test_prs.c
@@ -13,16 +13,16 @@
 static void fill(struct gsp_record *r, const char *name, uint32_t seq)
 {
 	memset(r, 0, sizeof(*r));
-	str_copy(r->name, name, GSP_NAME);
+	str_copy(r->name, name, GSP_NAME_SIZE);
 	r->boot = 77;
 	r->seq = seq;
 	r->stamp_ms = 123456;
 	r->true_ms = 1780000000000;
-	r->taking = true;
+	r->accepting = true;
 	r->cfg_version = 12;
-	r->fresh_age_ms = 340;
+	r->cfg_confirmed_age_ms = 340;
 	r->nr_demands = 1;
-	str_copy(r->demands[0].account, "one", GSP_NAME);
+	str_copy(r->demands[0].account, "one", GSP_NAME_SIZE);
 	r->demands[0].per_s = 1234.5;
 	r->nr_loads = 2;
 	r->loads[1] = (struct gsp_load){ 99, 3, 5000 };
@@ -31,8 +31,8 @@
 	r->nr_rolled_back = 1;
 	r->rolled_back[0] = 23;
 	r->nr_services = 1;
-	r->services[0].reads_per_s = 152000;
-	r->services[0].told = (struct svc_told){
+	r->services[0].prefill_tokens_per_s = 152000;
+	r->services[0].estimates = (struct svc_told){
 		.service = 42,
 		.samples = 200,
 		.first = { 40, 16.5, 12, 3 },
@@ -47,7 +47,7 @@
 	r->counts[0].source = 5;
 	r->counts[0].window = 355;
 	r->counts[0].runs = 17;
-	str_copy(r->counts[0].account, "two", GSP_NAME);
+	str_copy(r->counts[0].account, "two", GSP_NAME_SIZE);
 	r->store_era = 3;
 	r->nr_fatal = 1;
 	r->fatal[0] = (struct fatal_told){
@@ -68,17 +68,18 @@
 	CU_ASSERT(n > 0 && n < 700);
 	CU_ASSERT(gsp_decode(&heard, bytes, n));
 	CU_ASSERT_STRING_EQUAL(heard.name, "edge-1");
-	CU_ASSERT_EQUAL(heard.fresh_age_ms, 340);
+	CU_ASSERT_EQUAL(heard.cfg_confirmed_age_ms, 340);
 	CU_ASSERT_EQUAL(heard.loads[1].prefill_tokens, 5000);
 	CU_ASSERT_DOUBLE_EQUAL(heard.demands[0].per_s, 1234.5, 0.001);
 	CU_ASSERT_EQUAL(heard.counts[0].runs, 17);
 	CU_ASSERT_EQUAL(heard.counts[0].source, 5);
 	CU_ASSERT_EQUAL(heard.nr_services, 1);
-	CU_ASSERT_EQUAL(heard.services[0].told.service, 42);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].reads_per_s, 152000, 1);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].told.first[SVC_READ_MS], 16.5,
-			       0.001);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].told.run_ms, 1150, 0.01);
+	CU_ASSERT_EQUAL(heard.services[0].estimates.service, 42);
+	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].prefill_tokens_per_s, 152000,
+			       1);
+	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].estimates.first[SVC_READ_MS],
+			       16.5, 0.001);
+	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].estimates.run_ms, 1150, 0.01);
 	CU_ASSERT_EQUAL(heard.store_era, 3);
 	CU_ASSERT_EQUAL(heard.nr_fatal, 1);
 	CU_ASSERT(hsh_wide_equal(heard.fatal[0].content,
@@ -164,12 +165,12 @@
 				(char)(1 << rnd_below(&rnd, 8));
 		if (!gsp_decode(&heard, bad, n))
 			continue;
-		CU_ASSERT(heard.nr_counts <= GSP_COUNTS);
-		CU_ASSERT(heard.nr_services <= GSP_SERVICES);
+		CU_ASSERT(heard.nr_counts <= GSP_MAX_COUNTS);
+		CU_ASSERT(heard.nr_services <= GSP_MAX_SERVICES);
 		CU_ASSERT(heard.nr_fatal <= FATAL_MAX_TOLD);
-		CU_ASSERT(heard.nr_tallies <= GSP_TALLIES);
-		CU_ASSERT(heard.nr_rolled_back <= GSP_ROLLED_BACK);
-		CU_ASSERT(strlen(heard.name) < GSP_NAME);
+		CU_ASSERT(heard.nr_tallies <= GSP_MAX_TALLIES);
+		CU_ASSERT(heard.nr_rolled_back <= GSP_MAX_ROLLED_BACK);
+		CU_ASSERT(strlen(heard.name) < GSP_NAME_SIZE);
 	}
 	CU_ASSERT_FALSE(gsp_decode(&heard, "", 0));
 }
@@ -185,7 +186,7 @@
 	size_t n;
 
 	fill(&said, "edge-1", 4);
-	said.services[0].reads_per_s = NAN;
+	said.services[0].prefill_tokens_per_s = NAN;
 	n = gsp_encode(&said, bytes, sizeof(bytes));
 	CU_ASSERT_FALSE(gsp_decode(&heard, bytes, n));
 	fill(&said, "edge-1", 4);
@@ -193,7 +194,7 @@
 	n = gsp_encode(&said, bytes, sizeof(bytes));
 	CU_ASSERT_FALSE(gsp_decode(&heard, bytes, n));
 	fill(&said, "edge-1", 4);
-	said.services[0].reads_per_s = -1;
+	said.services[0].prefill_tokens_per_s = -1;
 	n = gsp_encode(&said, bytes, sizeof(bytes));
 	CU_ASSERT_FALSE(gsp_decode(&heard, bytes, n));
 }
@@ -205,11 +206,11 @@
 	unsigned i;
 
 	fill(&said, "edge-1", 4);
-	said.nr_loads = GSP_LOADS;
-	said.nr_counts = GSP_COUNTS;
-	said.nr_services = GSP_SERVICES;
-	for (i = 0; i < GSP_COUNTS; i++)
-		str_copy(said.counts[i].account, "account", GSP_NAME);
+	said.nr_loads = GSP_MAX_LOADS;
+	said.nr_counts = GSP_MAX_COUNTS;
+	said.nr_services = GSP_MAX_SERVICES;
+	for (i = 0; i < GSP_MAX_COUNTS; i++)
+		str_copy(said.counts[i].account, "account", GSP_NAME_SIZE);
 	CU_ASSERT(gsp_encode(&said, bytes, sizeof(bytes)) > 0);
 	CU_ASSERT_EQUAL(gsp_encode(&said, bytes, 100), 0);
 }
@@ -220,8 +221,9 @@
 
 	memset(&info, 0, sizeof(info));
 	str_copy(info.name, name, sizeof(info.name));
-	str_copy(info.peers, "127.0.0.1:7600", sizeof(info.peers));
-	return prs_registered(p, &info, 0);
+	str_copy(info.peer_address, "127.0.0.1:7600",
+		 sizeof(info.peer_address));
+	return prs_register(p, &info, 0);
 }
 
 static void only_newer_words_of_known_entries_count(void)
@@ -230,15 +232,15 @@
 
 	prs_init(&p);
 	fill(&said, "edge-1", 4);
-	CU_ASSERT_PTR_NULL(prs_heard(&p, &said, 1000, 0));
+	CU_ASSERT_PTR_NULL(prs_receive(&p, &said, 1000, 0));
 	registered(&p, "edge-1");
-	CU_ASSERT_PTR_NOT_NULL(prs_heard(&p, &said, 1000, 0));
-	CU_ASSERT_PTR_NULL(prs_heard(&p, &said, 1001, 0));
+	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &said, 1000, 0));
+	CU_ASSERT_PTR_NULL(prs_receive(&p, &said, 1001, 0));
 	said.seq = 3;
-	CU_ASSERT_PTR_NULL(prs_heard(&p, &said, 1002, 0));
+	CU_ASSERT_PTR_NULL(prs_receive(&p, &said, 1002, 0));
 	/* Another boot begins anew. */
 	said.boot = 78;
-	CU_ASSERT_PTR_NOT_NULL(prs_heard(&p, &said, 1003, 0));
+	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &said, 1003, 0));
 	prs_free(&p);
 }
 
@@ -258,19 +260,19 @@
 	peer = registered(&p, "edge-1");
 	/* The peer got our stamp of 5000, held it for 50 ms, then wrote. */
 	fill(&said, "edge-1", 4);
-	said.fresh_age_ms = 100;
+	said.cfg_confirmed_age_ms = 100;
 	said.echo_boot = 42;
 	said.echo_stamp_ms = 5000;
 	said.echo_hold_ms = 50;
-	CU_ASSERT_EQUAL(prs_confirmed_at(&said, 42), 4950);
+	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&said, 42), 4950);
 	/* Not ours, or of our life before: says nothing. */
-	CU_ASSERT_EQUAL(prs_confirmed_at(&said, 43), 0);
-	said.fresh_age_ms = -1;
-	CU_ASSERT_EQUAL(prs_confirmed_at(&said, 42), 0);
+	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&said, 43), 0);
+	said.cfg_confirmed_age_ms = -1;
+	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&said, 42), 0);
 	/* What we echo. */
 	fill(&said, "edge-1", 5);
-	prs_heard(&p, &said, 9000, 0);
-	prs_echo(peer, &heard, 9080);
+	prs_receive(&p, &said, 9000, 0);
+	prs_fill_echo(peer, &heard, 9080);
 	CU_ASSERT_EQUAL(heard.echo_boot, 77);
 	CU_ASSERT_EQUAL(heard.echo_stamp_ms, 123456);
 	CU_ASSERT_EQUAL(heard.echo_hold_ms, 80);
@@ -289,15 +291,15 @@
 	prs_init(&p);
 	peer = registered(&p, "edge-1");
 	registered(&p, "edge-2");
-	CU_ASSERT_EQUAL(prs_sharing(&p, 0), 3);
+	CU_ASSERT_EQUAL(prs_count_running(&p, 0), 3);
 	fill(&said, "edge-1", 4);
-	prs_heard(&p, &said, 1000, 0);
-	prs_unregistered(&p, "edge-1", 1100);
-	prs_unregistered(&p, "edge-2", 1100);
+	prs_receive(&p, &said, 1000, 0);
+	prs_unregister(&p, "edge-1", 1100);
+	prs_unregister(&p, "edge-2", 1100);
 	CU_ASSERT(prs_alive(peer, 1500));
-	CU_ASSERT_EQUAL(prs_sharing(&p, 1500), 2);
-	CU_ASSERT_FALSE(prs_alive(peer, 1000 + PRS_SILENT_MS));
-	prs_forget(&p, 1101 + PRS_FORGET_MS);
+	CU_ASSERT_EQUAL(prs_count_running(&p, 1500), 2);
+	CU_ASSERT_FALSE(prs_alive(peer, 1000 + PRS_ALIVE_MS));
+	prs_expire(&p, 1101 + PRS_EXPIRE_MS);
 	CU_ASSERT_EQUAL(p.count, 0);
 	prs_free(&p);
 }
@@ -317,12 +319,12 @@
 	peer = registered(&p, "edge-1");
 	fill(&said, "edge-1", 4);
 	said.with_counts = true;
-	prs_heard(&p, &said, 1000, 0);
-	CU_ASSERT_EQUAL(peer->counted_true_ms, said.true_ms);
+	prs_receive(&p, &said, 1000, 0);
+	CU_ASSERT_EQUAL(peer->counts_true_ms, said.true_ms);
 	fill(&heard, "edge-1", 5);
 	heard.true_ms += 900;
-	CU_ASSERT_PTR_NOT_NULL(prs_heard(&p, &heard, 1900, 0));
-	CU_ASSERT_EQUAL(peer->counted_true_ms, said.true_ms);
+	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &heard, 1900, 0));
+	CU_ASSERT_EQUAL(peer->counts_true_ms, said.true_ms);
 	prs_free(&p);
 }
 
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/rnd.h"
-#include "member/named.h"
+#include "member/advertise.h"
 #include "member/rank.h"
 #include "support/unit.h"
 
@@ -78,14 +78,14 @@
 
 	fill_names();
 	for (k = 0; k < sizeof(firsts) / sizeof(firsts[0]); k++) {
-		rank_init(&one, RANK_COUNT);
-		rank_init(&other, RANK_COUNT);
+		rank_init(&one, RANK_USAGE);
+		rank_init(&other, RANK_USAGE);
 		for (i = 0; i < ENTRIES; i++) {
 			add(&one, (int)i);
 			add(&other, (int)i);
 		}
 		rank_sort(&one);
-		rank_first(&other, firsts[k]);
+		rank_select(&other, firsts[k]);
 		CU_ASSERT_EQUAL(other.n, one.n);
 		for (i = 0; i < firsts[k] && i < one.n; i++)
 			CU_ASSERT_PTR_EQUAL(one.rows[i].entry,
@@ -99,8 +99,8 @@
 	size_t i, k;
 
 	fill_names();
-	rank_init(&one, RANK_NAME);
-	rank_init(&other, RANK_NAME);
+	rank_init(&one, RANK_ADVERTISE);
+	rank_init(&other, RANK_ADVERTISE);
 	for (i = 0; i < ENTRIES; i++) {
 		add(&one, (int)i);
 		if (i != 17)
@@ -122,7 +122,7 @@
 
 	fill_names();
 	rank_init(&one, RANK_WATCH);
-	rank_init(&other, RANK_COUNT);
+	rank_init(&other, RANK_USAGE);
 	for (i = 0; i < ENTRIES; i++) {
 		add(&one, (int)i);
 		add(&other, (int)i);
@@ -143,10 +143,10 @@
 	size_t i, k, count[ZONES];
 
 	fill_names();
-	rank_init(&one, RANK_NAME);
+	rank_init(&one, RANK_ADVERTISE);
 	for (i = 0; i < ENTRIES; i++)
 		add(&one, (int)i);
-	rank_spread(&one);
+	rank_interleave_zones(&one);
 	for (k = ZONES; k <= 24; k += ZONES) {
 		memset(count, 0, sizeof(count));
 		for (i = 0; i < k; i++)
@@ -160,7 +160,7 @@
 {
 	int i;
 
-	rank_init(&one, RANK_NAME);
+	rank_init(&one, RANK_ADVERTISE);
 	for (i = 0; i < RANK_MAX + 10; i++)
 		rank_add(&one, "a", "z", NULL);
 	CU_ASSERT_EQUAL(one.n, RANK_MAX);
@@ -194,12 +194,12 @@
 	memcpy(other.rows, one.rows + 1, (WATCHERS - 1) * sizeof(one.rows[0]));
 	other.n = WATCHERS - 1;
 	for (key = 1; key <= KEYS; key++) {
-		before = rank_of_key(&one, one.n, key);
+		before = rank_for_key(&one, one.n, key);
 		if (before == &one.rows[0])
 			had++;
 		else
 			moved += before->entry !=
-				 rank_of_key(&other, other.n, key)->entry;
+				 rank_for_key(&other, other.n, key)->entry;
 	}
 	CU_ASSERT_EQUAL(moved, 0);
 	CU_ASSERT(had > KEYS / WATCHERS / 2 && had < KEYS * 2 / WATCHERS);
@@ -208,14 +208,14 @@
 /* The pattern: a small fleet, a large one that is idle, the target's peak. */
 static void as_many_are_named_as_the_load_needs(void)
 {
-	CU_ASSERT_EQUAL(named_count(0, 0), 0);
-	CU_ASSERT_EQUAL(named_count(50, 8), 8);
-	CU_ASSERT_EQUAL(named_count(0, 84), 24);
-	CU_ASSERT_EQUAL(named_count(330, 84), 24);
-	CU_ASSERT_EQUAL(named_count(800, 84), 34);
-	CU_ASSERT_EQUAL(named_count(1e9, 84), 84);
-	CU_ASSERT_EQUAL(named_count(27000, 900), 900);
-	CU_ASSERT_EQUAL(named_count(8000, 900), 334);
+	CU_ASSERT_EQUAL(advertise_count(0, 0), 0);
+	CU_ASSERT_EQUAL(advertise_count(50, 8), 8);
+	CU_ASSERT_EQUAL(advertise_count(0, 84), 24);
+	CU_ASSERT_EQUAL(advertise_count(330, 84), 24);
+	CU_ASSERT_EQUAL(advertise_count(800, 84), 34);
+	CU_ASSERT_EQUAL(advertise_count(1e9, 84), 84);
+	CU_ASSERT_EQUAL(advertise_count(27000, 900), 900);
+	CU_ASSERT_EQUAL(advertise_count(8000, 900), 334);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -133,12 +133,12 @@
 	n = feed_watchers((unsigned)w.rank.n);
 	if (n > w.rank.n)
 		n = w.rank.n;
-	rank_first(&w.rank, n);
+	rank_select(&w.rank, n);
 	for (k = 0; k < n; k++) {
 		if (w.rank.rows[k].entry == &w.e[i])
 			return -1;
 	}
-	leader = rank_of_key(&w.rank, n, (uint64_t)i)->entry;
+	leader = rank_for_key(&w.rank, n, (uint64_t)i)->entry;
 	return (int)(leader - w.e);
 }
 
