--- a/lib/member/advertise.c
+++ b/lib/member/advertise.c
@@ -1,25 +1,26 @@
 #include "member/advertise.h"
 
 /*
- * A request costs an entry about 0.7 ms of a processor, and the smallest
- * instances have 0.12 of one: with so many a second a burst of five times as
- * much still fits. With fewer each, more entries share an account's limit, and
- * what they admit before they hear of each other adds up.
+ * Requests per second. A request costs an entry about 0.7 ms of CPU time, and
+ * the smallest instances have 0.12 of a CPU: at this rate they can still serve
+ * a burst of five times the rate. A lower rate would spread an account's limit
+ * over more entries, and what these admit before gossip has told them of each
+ * other's admissions adds up.
  */
-#define REQUESTS_EACH_PER_S 24.0
+#define REQUESTS_PER_S_PER_ENTRY 24.0
 
 /*
- * At least so many: when one dies its callers are spread over the others,
- * and a twentieth of the requests under way is lost with it at most.
+ * Entries. With 24, the clients of an entry that crashes are spread over many
+ * others, and at most a twentieth of the requests in flight is lost with it.
  */
-#define NAMED_LEAST 24
+#define MIN_ADVERTISED 24
 
-size_t advertise_count(double requests_per_s, size_t taking)
+size_t advertise_count(double requests_per_s, size_t accepting)
 {
-	const double need = requests_per_s / REQUESTS_EACH_PER_S;
-	size_t n = NAMED_LEAST;
+	const double need = requests_per_s / REQUESTS_PER_S_PER_ENTRY;
+	size_t n = MIN_ADVERTISED;
 
-	if (need > NAMED_LEAST)
-		n = need < (double)taking ? (size_t)need + 1 : taking;
-	return n < taking ? n : taking;
+	if (need > MIN_ADVERTISED)
+		n = need < (double)accepting ? (size_t)need + 1 : accepting;
+	return n < accepting ? n : accepting;
 }
--- a/lib/member/advertise.h
+++ b/lib/member/advertise.h
@@ -1,18 +1,22 @@
 /*
- * named: how many of the entries are named to callers.
+ * advertise: how many entries are advertised to clients.
  *
- * Callers pick one of the addresses that they are given at random. With many
- * entries each would see too few requests: its connections to endpoints are not
- * reused, its share of an account's limit is smaller than one request, and it
- * knows the load only by gossip. So only as many are named as the load needs;
- * the others stand by, ready.
+ * A client picks one of the advertised addresses at random. If every entry of a
+ * large fleet were advertised, each would see too few requests: it could not
+ * reuse its connections to endpoints, its share of an account's limit would be
+ * less than one request, and it would know the endpoints' load by gossip only.
+ * So only as many entries are advertised as the load needs. The others are
+ * ready to take over.
  */
 #ifndef ADVERTISE_H
 #define ADVERTISE_H
 
 #include <stddef.h>
 
-/* Of `taking` entries that take requests, for this load, so many are named. */
-size_t advertise_count(double requests_per_s, size_t taking);
+/*
+ * Returns how many of `accepting` entries, those that accept requests, to
+ * advertise for a fleet-wide load of `requests_per_s`. At most `accepting`.
+ */
+size_t advertise_count(double requests_per_s, size_t accepting);
 
 #endif
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -5,7 +5,10 @@
 #include <stddef.h>
 #include <string.h>
 
-/* The first word of a datagram: tells ours from strays, and the layout. */
+/*
+ * First word of a datagram: identifies the protocol and its layout, so that
+ * stray datagrams are dropped.
+ */
 #define GSP_MAGIC 0x6d64670d
 
 static bool_t xdr_name(XDR *x, char *name)
@@ -72,8 +75,8 @@
 	return TRUE;
 }
 
-/* Learned figures travel as floats: more digits than they are good for. */
-static bool_t xdr_figure(XDR *x, double *v)
+/* Estimates are sent as floats: still more precise than they are accurate. */
+static bool_t xdr_estimate(XDR *x, double *v)
 {
 	float f = (float)*v;
 
@@ -83,12 +86,12 @@
 	return TRUE;
 }
 
-static bool_t xdr_figures(XDR *x, double *v, unsigned n)
+static bool_t xdr_estimates(XDR *x, double *v, unsigned n)
 {
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		if (!xdr_figure(x, &v[i]))
+		if (!xdr_estimate(x, &v[i]))
 			return FALSE;
 	}
 	return TRUE;
@@ -99,14 +102,14 @@
 	struct svc_told *t = &s->estimates;
 
 	return xdr_uint64_t(x, &t->service) &&
-	       xdr_figure(x, &s->prefill_tokens_per_s) &&
-	       xdr_figure(x, &t->samples) &&
-	       xdr_figures(x, t->first, SVC_FIRST_COEFS) &&
-	       xdr_figure(x, &t->first_off) &&
-	       xdr_figure(x, &t->pace_samples) &&
-	       xdr_figures(x, t->pace, SVC_PACE_COEFS) &&
-	       xdr_figure(x, &t->pace_off) && xdr_figure(x, &t->run_ms) &&
-	       xdr_figure(x, &t->run_seen);
+	       xdr_estimate(x, &s->prefill_tokens_per_s) &&
+	       xdr_estimate(x, &t->samples) &&
+	       xdr_estimates(x, t->first, SVC_FIRST_COEFS) &&
+	       xdr_estimate(x, &t->first_off) &&
+	       xdr_estimate(x, &t->pace_samples) &&
+	       xdr_estimates(x, t->pace, SVC_PACE_COEFS) &&
+	       xdr_estimate(x, &t->pace_off) && xdr_estimate(x, &t->run_ms) &&
+	       xdr_estimate(x, &t->run_seen);
 }
 
 static bool_t xdr_services(XDR *x, struct gsp_record *r)
@@ -143,7 +146,7 @@
 	return xdr_uint64_t(x, &h->hi) && xdr_uint64_t(x, &h->lo);
 }
 
-static bool_t xdr_told(XDR *x, struct fatal_told *t)
+static bool_t xdr_fatal(XDR *x, struct fatal_told *t)
 {
 	unsigned i;
 
@@ -160,8 +163,8 @@
 	return TRUE;
 }
 
-/* Absent in releases that do not support store eras. */
-static bool_t xdr_tail(XDR *x, struct gsp_record *r)
+/* Absent in datagrams of releases without store eras. */
+static bool_t xdr_era_and_fatal(XDR *x, struct gsp_record *r)
 {
 	unsigned i;
 
@@ -170,7 +173,7 @@
 	if (!xdr_u_int(x, &r->nr_fatal) || r->nr_fatal > FATAL_MAX_TOLD)
 		return FALSE;
 	for (i = 0; i < r->nr_fatal; i++) {
-		if (!xdr_told(x, &r->fatal[i]))
+		if (!xdr_fatal(x, &r->fatal[i]))
 			return FALSE;
 	}
 	return TRUE;
@@ -186,7 +189,7 @@
 	       xdr_uint32_t(x, &t->row.late) && xdr_uint32_t(x, &t->row.broken);
 }
 
-/* Absent in releases without roll-outs. */
+/* Absent in datagrams of releases without roll-outs. */
 static bool_t xdr_rollouts(XDR *x, struct gsp_record *r)
 {
 	unsigned i;
@@ -241,17 +244,20 @@
 	size_t n = 0;
 
 	xdrmem_create(&x, out, (u_int)size, XDR_ENCODE);
-	/* XDR's one routine for both ways takes no const; it only reads. */
+	/* XDR uses one routine for both directions; encoding only reads. */
 	if (xdr_record(&x, (struct gsp_record *)r) &&
-	    xdr_tail(&x, (struct gsp_record *)r) &&
+	    xdr_era_and_fatal(&x, (struct gsp_record *)r) &&
 	    xdr_rollouts(&x, (struct gsp_record *)r))
 		n = xdr_getpos(&x);
 	xdr_destroy(&x);
 	return n;
 }
 
-/* A rate that is no number would make every sum with it none. */
-static bool rates_sound(const struct gsp_record *r)
+/*
+ * Receivers sum the rates of all entries: one NaN or infinity would make the
+ * whole sum useless.
+ */
+static bool rates_valid(const struct gsp_record *r)
 {
 	unsigned i;
 
@@ -276,9 +282,9 @@
 	xdrmem_create(&x, (char *)in, (u_int)len, XDR_DECODE);
 	ok = xdr_record(&x, r);
 	if (ok && xdr_getpos(&x) < len)
-		ok = xdr_tail(&x, r);
+		ok = xdr_era_and_fatal(&x, r);
 	if (ok && xdr_getpos(&x) < len)
 		ok = xdr_rollouts(&x, r);
 	xdr_destroy(&x);
-	return ok && r->name[0] && rates_sound(r);
+	return ok && r->name[0] && rates_valid(r);
 }
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -1,10 +1,11 @@
 /*
- * gsp: what entries tell each other, in one datagram each, in XDR.
+ * gsp (gossip): the datagram that entries send each other, encoded in XDR.
  *
- * A datagram holds the sender's own facts and, for its receiver alone, an
- * echo of the last datagram that came from there. The echo bounds from below
- * when this datagram was sent, in the receiver's own time, however long it
- * was on the way or lay unread.
+ * A datagram holds the sender's own state and, for this receiver alone, an
+ * echo of the last datagram that the sender got from it. The echo carries the
+ * receiver's own timestamp, which gives a lower bound, on the receiver's clock,
+ * for when this datagram was sent, however long it was in transit or in the
+ * socket's receive buffer.
  */
 #ifndef GSP_H
 #define GSP_H
@@ -17,62 +18,70 @@
 #include "request/fatal.h"
 #include "rollout/tally.h"
 
-#define GSP_NAME_SIZE 64
+#define GSP_NAME_SIZE 64 /* bytes of a name, with its terminating zero */
+
+/* Most rows of each kind in a datagram. */
 #define GSP_MAX_DEMANDS 64
 #define GSP_MAX_LOADS 128
 #define GSP_MAX_SERVICES 8
 #define GSP_MAX_COUNTS 96 /* windows x accounts */
 #define GSP_MAX_TALLIES 96
 #define GSP_MAX_ROLLED_BACK 8
-#define GSP_MAX_BYTES 8192
 
+#define GSP_MAX_BYTES 8192 /* of an encoded datagram */
+
+/* Demand of a client account at the sender. */
 struct gsp_demand {
 	char account[GSP_NAME_SIZE];
 	double per_s;
 };
 
+/* The sender's own load on an endpoint. */
 struct gsp_load {
 	uint64_t endpoint; /* hash of its id */
-	int running;
+	int running;	   /* requests */
 	int prefill_tokens;
 };
 
+/* Runs of an account in a usage window, as counted by one entry. */
 struct gsp_count {
-	uint64_t source; /* hash of the name and boot of who counted */
+	uint64_t source; /* hash of the counting entry's name and boot */
 	int64_t window;
 	char account[GSP_NAME_SIZE];
 	int64_t runs;
 };
 
-/* Of a service: our load, and what its answers showed us. */
+/* The sender's load on a service and what it learned from its answers. */
 struct gsp_service {
-	double prefill_tokens_per_s; /* prompt tokens to be read, of our requests */
+	double prefill_tokens_per_s; /* prompt tokens of the sender's requests
+				      * that need prefill */
 	struct svc_told estimates;
 };
 
 /* Outcomes of the sender's requests in a roll-out in progress. */
 struct gsp_tally {
-	uint64_t order;
+	uint64_t order; /* the roll-out order */
 	struct tal_row row;
 };
 
 struct gsp_record {
 	char name[GSP_NAME_SIZE];
-	uint64_t boot; /* drawn at the start of the process */
+	uint64_t boot; /* random, drawn at the start of the process */
 	uint32_t seq;
 	int64_t stamp_ms; /* sender's clock, for the receiver's echo */
 	int64_t true_ms;  /* sender's estimate of the time of day */
-	bool accepting;	  /* takes new requests */
-	bool store_ok;	  /* reaches the store itself */
+	bool accepting;	  /* accepts new requests */
+	bool store_ok;	  /* reaches the store without a relay */
 	int64_t cfg_version;
-	int64_t cfg_confirmed_age_ms; /* since it was known to be the newest; -1: never */
+	/* Since cfg_version was confirmed as the newest; -1: never. */
+	int64_t cfg_confirmed_age_ms;
 	double requests_per_s;
-	int64_t store_era; /* as the sender knows it */
+	int64_t store_era; /* highest era of the store that it knows */
 	bool with_counts;  /* `counts` holds all that the sender knows */
 
-	uint64_t echo_boot;    /* of the receiver's datagram; 0: none yet */
-	int64_t echo_stamp_ms; /* its stamp */
-	int64_t echo_hold_ms;  /* since it arrived at the sender */
+	uint64_t echo_boot;    /* boot of the echoed datagram; 0: none yet */
+	int64_t echo_stamp_ms; /* stamp_ms of the echoed datagram */
+	int64_t echo_hold_ms;  /* since the sender received it */
 
 	unsigned nr_demands, nr_loads, nr_services, nr_counts, nr_fatal;
 	unsigned nr_tallies, nr_rolled_back;
@@ -80,26 +89,33 @@
 	struct gsp_load loads[GSP_MAX_LOADS];
 	struct gsp_service services[GSP_MAX_SERVICES];
 	struct gsp_count counts[GSP_MAX_COUNTS];
-	struct fatal_told
-		fatal[FATAL_MAX_TOLD]; /* requests that end endpoints */
+	/* Poison requests: those that crash endpoints. */
+	struct fatal_told fatal[FATAL_MAX_TOLD];
 	struct gsp_tally tallies[GSP_MAX_TALLIES];
-	uint64_t rolled_back[GSP_MAX_ROLLED_BACK]; /* orders */
+	uint64_t rolled_back[GSP_MAX_ROLLED_BACK]; /* roll-out orders */
 };
 
 /*
- * Empties a record, and copies one. Rows beyond the counts of them are left
- * as they are: a record has room for sixteen kilobytes and mostly uses some
- * hundred bytes, and five hundred are heard in a second.
+ * Clear a record, and copy one. Rows beyond the nr_* counts are not touched:
+ * a record has room for 16 KB and mostly uses a few hundred bytes, and an entry
+ * receives about 500 of them per second.
  */
 void gsp_clear(struct gsp_record *r);
 void gsp_copy(struct gsp_record *to, const struct gsp_record *from);
 
-/* Encodes into `out`; returns the bytes, or 0 if they do not fit. */
+/*
+ * Encodes `r` into `out` of `size` bytes. Returns the encoded length in bytes,
+ * or 0 if the record does not fit.
+ */
 size_t gsp_encode(const struct gsp_record *r, char *out, size_t size);
 
 /*
- * Decodes; false if the bytes are no record. Earlier releases omit and ignore the fields from the era on, or from the
- * tallies on: releases run side by side during an upgrade of the fleet.
+ * Decodes `len` bytes into `r`. Returns false if they are not a valid record;
+ * `r` is then undefined.
+ *
+ * Releases of different age run side by side while the fleet is upgraded.
+ * Earlier ones omit the fields from store_era on, or from the tallies on; they
+ * ignore these fields when they receive them. Absent rows are decoded as none.
  */
 bool gsp_decode(struct gsp_record *r, const char *in, size_t len);
 
--- a/lib/member/prs.c
+++ b/lib/member/prs.c
@@ -12,9 +12,9 @@
 	CDS_INIT_LIST_HEAD(&p->peers);
 }
 
-/* uthash's macro counts as fifty statements of ours. */
+/* uthash's macro expands to some fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
-static struct prs_peer *add(struct prs *p, const struct prs_info *info)
+static struct prs_peer *add_peer(struct prs *p, const struct prs_info *info)
 {
 	struct prs_peer *peer = calloc(1, sizeof(*peer));
 
@@ -27,9 +27,9 @@
 	return peer;
 }
 
-static void drop(struct prs *p, struct prs_peer *peer)
+static void remove_peer(struct prs *p, struct prs_peer *peer)
 {
-	/* A peer that is dropped is in the table, which then is not empty. */
+	/* The table is not empty: it holds this peer. */
 	/* NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
 	HASH_DELETE(by_name, p->names, peer);
 	cds_list_del(&peer->node);
@@ -43,7 +43,7 @@
 	struct prs_peer *peer, *next;
 
 	cds_list_for_each_entry_safe(peer, next, &p->peers, node) {
-		drop(p, peer);
+		remove_peer(p, peer);
 	}
 }
 
@@ -65,7 +65,7 @@
 	if (ioc_address(info->peer_address, &addr, NULL))
 		return NULL;
 	if (!peer)
-		peer = add(p, info);
+		peer = add_peer(p, info);
 	peer->info = *info;
 	peer->addr = addr;
 	peer->registered = true;
@@ -153,6 +153,6 @@
 			continue;
 		if (now - peer->unregistered_ms > PRS_EXPIRE_MS &&
 		    now - peer->received_ms > PRS_EXPIRE_MS)
-			drop(p, peer);
+			remove_peer(p, peer);
 	}
 }
--- a/lib/member/prs.h
+++ b/lib/member/prs.h
@@ -1,10 +1,12 @@
 /*
- * prs: the other entries: who is registered, who was heard lately, and what
- * they last told.
+ * prs (peers): the table of the other entries: which are registered, when each
+ * was last heard from, and the last state that it sent.
  *
- * Registration in the store says who exists; datagrams say who is alive and
- * takes requests. An entry that is heard counts although its registration
- * lapsed while the store was away.
+ * The registration in the store tells that an entry exists; its datagrams tell
+ * that it is alive and accepts requests. An entry that still sends datagrams
+ * counts although its registration expired while the store was unreachable.
+ *
+ * Times are milliseconds of the caller's monotonic clock, except where noted.
  */
 #ifndef PRS_H
 #define PRS_H
@@ -18,42 +20,43 @@
 #include "member/gsp.h"
 
 /*
- * An entry that was silent for so long is not named to callers: five
- * datagrams in a row were lost, which with 3 in 100 lost is one in 40
- * million, or it is gone.
+ * ms without a datagram after which an entry is no longer advertised to
+ * clients. It is either gone or five datagrams in a row were lost, which has a
+ * probability of 1 in 40 million at 3 % loss.
  */
 #define PRS_ALIVE_MS 1000
 
 /*
- * So long the facts of a silent entry (its part of the limits) still count:
- * it may live behind a cut.
+ * ms for which the last state of a silent entry (its share of the limits) still
+ * counts: it may be running on the other side of a network partition.
  */
 #define PRS_EXPIRE_MS 10000
 
+/* What an entry registers in the store. */
 struct prs_info {
 	char name[GSP_NAME_SIZE];
 	char zone[GSP_NAME_SIZE];
-	char client_address[32]; /* IP:PORT where callers connect */
-	char peer_address[32];	 /* IP:PORT for datagrams and calls of peers */
+	char client_address[32]; /* IP:PORT for clients' connections */
+	char peer_address[32];	 /* IP:PORT for peers' datagrams and calls */
 };
 
 struct prs_peer {
 	struct cds_list_head node; /* in prs.peers */
 	UT_hash_handle by_name;	   /* in prs.names */
 	struct prs_info info;
-	struct sockaddr_in addr; /* info.peers */
+	struct sockaddr_in addr; /* info.peer_address, parsed */
 	bool registered;
-	int64_t received_ms;	 /* 0: never */
-	int64_t unregistered_ms; /* registration lost; 0: not */
+	int64_t received_ms;	 /* its newest datagram; 0: none */
+	int64_t unregistered_ms; /* its registration expired; 0: it has not */
 	uint64_t boot;
-	int64_t boot_seen_ms; /* this boot was first heard */
+	int64_t boot_seen_ms; /* first datagram with this boot */
 	uint32_t seq;
-	int64_t stamp_ms; /* of its last datagram, to be echoed */
+	int64_t stamp_ms; /* of its newest datagram, to be echoed */
 	bool accepting, store_ok;
-	bool collects_counts;	 /* is told all counts of usage */
-	int64_t clock_offset_ms; /* its estimate of the time of day against ours */
-	int64_t counts_true_ms;	 /* its time of day when it last told counts */
-	struct gsp_record *last; /* what it last told; NULL: nothing */
+	bool collects_counts;	 /* is sent all usage counts */
+	int64_t clock_offset_ms; /* its estimate of the time of day - ours */
+	int64_t counts_true_ms;	 /* its time of day when it last sent counts */
+	struct gsp_record *last; /* its newest datagram; NULL: none */
 };
 
 struct prs {
@@ -63,38 +66,55 @@
 };
 
 void prs_init(struct prs *p);
+
+/* Frees all peers, but not `p` itself. */
 void prs_free(struct prs *p);
 
-/* The store has this registration. Returns the peer. */
+/*
+ * Adds or updates a peer that is registered in the store. Returns the peer,
+ * owned by `p`; NULL if its peer_address is not valid.
+ */
 struct prs_peer *prs_register(struct prs *p, const struct prs_info *info,
 			      int64_t now_ms);
+
+/* The registration of `name` is gone. The peer is kept until prs_expire(). */
 void prs_unregister(struct prs *p, const char *name, int64_t now_ms);
 
 /*
- * A datagram came. Returns its sender if it is known and the datagram is the
- * newest of that sender, else NULL.
+ * Records a received datagram (copied). `now_true_ms` is our estimate of the
+ * time of day. Returns the sender, or NULL if it is unknown or has sent a newer
+ * datagram; then nothing is recorded.
  */
 struct prs_peer *prs_receive(struct prs *p, const struct gsp_record *r,
 			     int64_t now_ms, int64_t now_true_ms);
 
 /*
- * When the version that `r` names was the newest, in our time, at the
- * earliest: from the echo of our own stamp. 0: cannot be told.
+ * Returns the time on our clock at which r->cfg_version was, at the earliest,
+ * confirmed as the newest configuration. It is computed from the echo of our
+ * own timestamp. 0 if `r` does not tell or does not echo `my_boot`.
  */
 int64_t prs_config_confirmed_ms(const struct gsp_record *r, uint64_t my_boot);
 
-/* Fills in the echo for this receiver. */
+/* Sets the echo fields of `r` for the receiver `peer`. */
 void prs_fill_echo(const struct prs_peer *peer, struct gsp_record *r,
 		   int64_t now_ms);
 
+/* True if a datagram of the peer arrived within the last PRS_ALIVE_MS. */
 bool prs_alive(const struct prs_peer *peer, int64_t now_ms);
 
-/* Entries that share the limits: we, and all that may be running. */
+/*
+ * Returns the number of entries that may be running, this one included: those
+ * registered or heard from within PRS_EXPIRE_MS. They share the limits.
+ */
 unsigned prs_count_running(const struct prs *p, int64_t now_ms);
 
-/* Drops those that are neither registered nor heard for long. */
+/*
+ * Frees the peers that were neither registered nor heard from for
+ * PRS_EXPIRE_MS.
+ */
 void prs_expire(struct prs *p, int64_t now_ms);
 
+/* Returns the peer of this name, owned by `p`, or NULL. */
 struct prs_peer *prs_find(struct prs *p, const char *name);
 
 #endif
--- a/lib/member/rank.c
+++ b/lib/member/rank.c
@@ -30,7 +30,7 @@
 	return x->weight < y->weight ? -1 : x->weight > y->weight;
 }
 
-static int by_turn(const void *a, const void *b)
+static int by_zone_rank(const void *a, const void *b)
 {
 	const struct rank_row *x = a, *y = b;
 
@@ -52,7 +52,10 @@
 	qsort(r->rows, r->n, sizeof(r->rows[0]), by_weight);
 }
 
-/* Puts row `i` among the sorted ones before it, of which `k` are kept. */
+/*
+ * Inserts row `i` into the sorted rows before it, of which the first `k` are
+ * kept sorted.
+ */
 static void insert(struct rank *r, size_t i, size_t k)
 {
 	const struct rank_row row = r->rows[i];
@@ -104,5 +107,5 @@
 
 		r->rows[i].zone_rank = same ? r->rows[i - 1].zone_rank + 1 : 0;
 	}
-	qsort(r->rows, r->n, sizeof(r->rows[0]), by_turn);
+	qsort(r->rows, r->n, sizeof(r->rows[0]), by_zone_rank);
 }
--- a/lib/member/rank.h
+++ b/lib/member/rank.h
@@ -1,10 +1,10 @@
 /*
- * rank: which of the entries take on what only a few of them should do.
+ * rank: chooses which entries perform a task that only a few should perform.
  *
- * All entries rank each other by the same hash of their names, so those that
- * know of the same entries choose the same ones without a word between them.
- * The hash is seeded by the purpose: an entry that comes first in one thing
- * need not come first in another.
+ * All entries rank the fleet by the same hash of their names, so entries that
+ * know of the same fleet choose the same ones without any messages. The hash is
+ * seeded by the purpose: the first entry for one purpose need not be the first
+ * for another.
  */
 #ifndef RANK_H
 #define RANK_H
@@ -12,20 +12,21 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Entries that are ranked; with more, the first ones known are. */
+/* Most entries in a ranking; further ones are ignored. */
 #define RANK_MAX 1024
 
 enum rank_purpose {
-	RANK_WATCH,	/* watch the store, and ask it for the configuration */
-	RANK_USAGE,	/* keep all counts, beside the holder of the duties */
-	RANK_ADVERTISE, /* are named to callers */
+	RANK_WATCH,	/* watch the store and poll it for the configuration */
+	RANK_USAGE,	/* collect all usage counts, beside the duty holder */
+	RANK_ADVERTISE, /* are advertised to clients */
 };
 
 struct rank_row {
 	const char *zone;
-	void *entry; /* the caller's; NULL may stand for ourselves */
+	void *entry; /* opaque; may be NULL */
 	uint64_t weight;
-	unsigned zone_rank; /* filled in by rank_interleave_zones */
+	unsigned zone_rank; /* 0: first of its zone; set by
+			     * rank_interleave_zones() */
 };
 
 struct rank {
@@ -34,32 +35,38 @@
 	struct rank_row rows[RANK_MAX];
 };
 
+/* Makes `r` an empty ranking. It holds no memory of its own to free. */
 void rank_init(struct rank *r, enum rank_purpose purpose);
 
-/* Ranks an entry; `zone` must live until the rank is sorted. */
+/*
+ * Adds an entry. `zone` is not copied: it must stay valid while `r` is used.
+ * Does nothing when `r` is full.
+ */
 void rank_add(struct rank *r, const char *name, const char *zone, void *entry);
 
-/* The best first. */
+/* Sorts all rows, the best first. */
 void rank_sort(struct rank *r);
 
 /*
- * The `k` best first, as rank_sort has them; the order of the others is not
- * told. A few of many are looked for some ten times a second: sorting 295
- * entries each time took a tenth of an entry's processor time.
+ * Moves the best `k` rows to the front, in the order of rank_sort(); the order
+ * of the other rows is unspecified. A few of many rows are needed some ten
+ * times per second: sorting 295 entries each time took a tenth of an entry's
+ * CPU time.
  */
 void rank_select(struct rank *r, size_t k);
 
 /*
- * Which of the first `n` rows, 1 at least, stands for `key`. When one of them
- * goes or another one joins, only the keys that it had or gets change: counted
- * off by the remainder instead, all of them would.
+ * Assigns `key` to one of the first `n` rows (n >= 1) by rendezvous hashing.
+ * When a row is removed or added, only the keys that it had or gets move; with
+ * the remainder of the key by `n` nearly all would.
  */
 const struct rank_row *rank_for_key(const struct rank *r, size_t n,
 				    uint64_t key);
 
 /*
- * The best of each zone first, then the second of each, and so on: a zone
- * that is lost takes no more than its part of those in front.
+ * Sorts all rows so that the best of each zone come first, then the second of
+ * each, and so on. The loss of a zone then removes no more than its share of
+ * any number of rows at the front.
  */
 void rank_interleave_zones(struct rank *r);
 
--- a/lib/member/swim.c
+++ b/lib/member/swim.c
@@ -8,44 +8,45 @@
 #include "base/rnd.h"
 
 struct peer {
-	struct view_member who;
+	struct view_member member;
 	enum swim_state state;
-	uint32_t refute;
-	int64_t since_ms; /* of the state */
+	uint32_t refutations;
+	int64_t since_ms; /* when it entered the state */
 	unsigned sends_left;
-	struct cds_list_head news; /* in swim.news while sends_left > 0 */
-	bool in_news;
+	struct cds_list_head gossip; /* in swim.gossip while queued */
+	bool gossip_queued;
 	struct cds_list_head bucket; /* by id */
 };
 
-/* Look-ups cost the same up to a few thousand peers. */
+/* Of the hash table by id: short chains up to a few thousand peers. */
 #define NR_BUCKETS 1024
 
 enum probe_phase {
 	PROBE_IDLE,
 	PROBE_DIRECT,
-	PROBE_HELPED
+	PROBE_INDIRECT
 };
 
 struct swim {
 	struct view_member self;
 	enum swim_state self_state;
-	uint32_t self_refute;
-	unsigned self_sends;
+	uint32_t self_refutations;
+	unsigned self_sends_left;
 	struct swim_config cfg;
 	struct rnd rnd;
 	struct cds_list_head buckets[NR_BUCKETS];
-	bool quiet;	     /* what is learned now is not passed on */
+	bool no_gossip;	     /* changes made now are not gossiped */
 	struct peer **peers; /* in random probe order */
 	size_t nr;
 	size_t cap;
-	size_t next;
+	size_t next; /* index of the next peer to probe */
 	enum probe_phase phase;
-	uint64_t probing;
-	int64_t probe_at;
+	uint64_t probing; /* id of the probed peer */
+	int64_t probe_at; /* when that probe was started */
 	int64_t next_period;
-	unsigned health; /* 0 is good; stretches our time-outs */
-	struct cds_list_head news;
+	/* Lifeguard; 0: healthy. Time-outs are multiplied by 1 + this. */
+	unsigned health_penalty;
+	struct cds_list_head gossip; /* peers whose state is to be sent */
 	char seeds[16][VIEW_ADDR_MAX];
 	size_t nr_seeds;
 	size_t next_seed;
@@ -53,8 +54,8 @@
 	int64_t last_contact;
 };
 
-/* A bad spell stretches time-outs at most this much (Lifeguard). */
-#define MAX_HEALTH 8
+/* Time-outs are multiplied by at most 1 + this (Lifeguard). */
+#define MAX_HEALTH_PENALTY 8
 
 struct swim_config swim_default_config(void)
 {
@@ -81,7 +82,7 @@
 	s->cfg = *cfg;
 	s->last_contact = -1;
 	rnd_seed(&s->rnd, seed);
-	CDS_INIT_LIST_HEAD(&s->news);
+	CDS_INIT_LIST_HEAD(&s->gossip);
 	for (i = 0; i < NR_BUCKETS; i++)
 		CDS_INIT_LIST_HEAD(&s->buckets[i]);
 	return s;
@@ -115,12 +116,13 @@
 	struct peer *p;
 
 	cds_list_for_each_entry(p, head, bucket) {
-		if (p->who.id == id)
+		if (p->member.id == id)
 			return p;
 	}
 	return NULL;
 }
 
+/* log2(n + 1), rounded up. */
 static unsigned log2_up(size_t n)
 {
 	unsigned k = 0;
@@ -132,29 +134,29 @@
 	return k;
 }
 
-static void announce(struct swim *s, struct peer *p)
+static void queue_gossip(struct swim *s, struct peer *p)
 {
 	s->epoch++;
-	if (s->quiet)
+	if (s->no_gossip)
 		return;
 	p->sends_left = s->cfg.spread_mult * log2_up(s->nr + 1);
-	if (p->in_news)
-		cds_list_del(&p->news);
-	cds_list_add(&p->news, &s->news);
-	p->in_news = true;
+	if (p->gossip_queued)
+		cds_list_del(&p->gossip);
+	cds_list_add(&p->gossip, &s->gossip);
+	p->gossip_queued = true;
 }
 
 static void set_state(struct swim *s, struct peer *p, enum swim_state state,
-		      uint32_t refute, int64_t now_ms)
+		      uint32_t refutations, int64_t now_ms)
 {
 	p->state = state;
-	p->refute = refute;
+	p->refutations = refutations;
 	p->since_ms = now_ms;
-	announce(s, p);
+	queue_gossip(s, p);
 }
 
-/* A new peer goes to a random place, so that probe orders differ. */
-static struct peer *add_peer(struct swim *s, const struct view_member *who,
+/* Inserts a peer at a random position, so that entries' probe orders differ. */
+static struct peer *add_peer(struct swim *s, const struct view_member *member,
 			     int64_t now_ms)
 {
 	struct peer *p = mem_new(sizeof(*p));
@@ -166,9 +168,9 @@
 		if (!s->peers)
 			abort();
 	}
-	p->who = *who;
+	p->member = *member;
 	p->since_ms = now_ms;
-	cds_list_add(&p->bucket, &s->buckets[who->id % NR_BUCKETS]);
+	cds_list_add(&p->bucket, &s->buckets[member->id % NR_BUCKETS]);
 	at = rnd_below(&s->rnd, (uint32_t)s->nr + 1);
 	s->peers[s->nr] = s->peers[at];
 	s->peers[at] = p;
@@ -180,42 +182,44 @@
 {
 	struct peer *p = s->peers[i];
 
-	if (p->in_news)
-		cds_list_del(&p->news);
+	if (p->gossip_queued)
+		cds_list_del(&p->gossip);
 	cds_list_del(&p->bucket);
 	free(p);
 	s->peers[i] = s->peers[--s->nr];
 }
 
-/* An older incarnation at the same name ends with the younger one's news. */
-static void bury_older(struct swim *s, const struct view_member *who,
-		       int64_t now_ms)
+/* Marks older incarnations of the same name as dead. */
+static void mark_older_dead(struct swim *s, const struct view_member *member,
+			    int64_t now_ms)
 {
 	size_t i;
 
 	for (i = 0; i < s->nr; i++) {
 		struct peer *p = s->peers[i];
 
-		if (strcmp(p->who.name, who->name) || p->who.id == who->id ||
-		    p->state == SWIM_DEAD || p->who.boot >= who->boot)
+		if (strcmp(p->member.name, member->name) ||
+		    p->member.id == member->id || p->state == SWIM_DEAD ||
+		    p->member.boot >= member->boot)
 			continue;
-		set_state(s, p, SWIM_DEAD, p->refute, now_ms);
+		set_state(s, p, SWIM_DEAD, p->refutations, now_ms);
 	}
 }
 
-/* ---- News ---- */
+/* ---- Deltas ---- */
 
 /*
- * Order of news about one incarnation: dead is final (a process that was
- * buried wrongly comes back as a new incarnation or refutes before); else a
- * higher refutation wins; else the worse state wins.
+ * Order of deltas about one incarnation: dead is final unless the incarnation
+ * refutes it (a process that was wrongly declared dead refutes that, or
+ * restarts as a new incarnation); else the higher refutation number wins; else
+ * the worse state wins.
  */
 static bool is_newer(const struct peer *p, const struct swim_delta *d)
 {
 	if (p->state == SWIM_DEAD)
-		return d->state != SWIM_DEAD && d->refutations > p->refute;
-	if (d->refutations != p->refute)
-		return d->refutations > p->refute;
+		return d->state != SWIM_DEAD && d->refutations > p->refutations;
+	if (d->refutations != p->refutations)
+		return d->refutations > p->refutations;
 	return d->state > p->state;
 }
 
@@ -223,32 +227,32 @@
 {
 	if (d->state != SWIM_SUSPECT && d->state != SWIM_DEAD)
 		return false;
-	if (d->refutations < s->self_refute)
+	if (d->refutations < s->self_refutations)
 		return false;
-	s->self_refute = d->refutations + 1;
-	s->self_sends = s->cfg.spread_mult * log2_up(s->nr + 1);
-	if (s->health < MAX_HEALTH)
-		s->health++;
+	s->self_refutations = d->refutations + 1;
+	s->self_sends_left = s->cfg.spread_mult * log2_up(s->nr + 1);
+	if (s->health_penalty < MAX_HEALTH_PENALTY)
+		s->health_penalty++;
 	return true;
 }
 
 bool swim_apply(struct swim *s, const struct swim_delta *d, int64_t now_ms)
 {
-	struct view_member who = d->member;
+	struct view_member member = d->member;
 	struct peer *p;
 
-	if (!*who.name || d->state > SWIM_DEAD)
+	if (!*member.name || d->state > SWIM_DEAD)
 		return false;
-	who.id = view_instance_id(who.name, who.boot);
-	if (who.id == s->self.id)
+	member.id = view_instance_id(member.name, member.boot);
+	if (member.id == s->self.id)
 		return apply_to_self(s, d);
-	p = find(s, who.id);
+	p = find(s, member.id);
 	if (!p) {
-		/* News of a death of one never known need not travel. */
+		/* An unknown peer that is dead need not be gossiped. */
 		if (d->state == SWIM_DEAD || s->nr >= VIEW_MAX_MEMBERS)
 			return false;
-		p = add_peer(s, &who, now_ms);
-		bury_older(s, &who, now_ms);
+		p = add_peer(s, &member, now_ms);
+		mark_older_dead(s, &member, now_ms);
 		set_state(s, p, d->state, d->refutations, now_ms);
 		return true;
 	}
@@ -263,23 +267,24 @@
 {
 	bool changed;
 
-	s->quiet = true;
+	s->no_gossip = true;
 	changed = swim_apply(s, d, now_ms);
-	s->quiet = false;
+	s->no_gossip = false;
 	return changed;
 }
 
 void swim_leave(struct swim *s)
 {
 	s->self_state = SWIM_LEAVING;
-	s->self_refute++;
-	s->self_sends = s->cfg.spread_mult * log2_up(s->nr + 1);
+	s->self_refutations++;
+	s->self_sends_left = s->cfg.spread_mult * log2_up(s->nr + 1);
 	s->epoch++;
 }
 
 static struct swim_delta self_delta(const struct swim *s)
 {
-	const struct swim_delta d = { s->self, s->self_state, s->self_refute };
+	const struct swim_delta d = { s->self, s->self_state,
+				      s->self_refutations };
 
 	return d;
 }
@@ -289,24 +294,24 @@
 	struct peer *p, *tmp;
 	size_t n = 0;
 
-	if (n < max && s->self_sends) {
+	if (n < max && s->self_sends_left) {
 		out[n++] = self_delta(s);
-		s->self_sends--;
+		s->self_sends_left--;
 	}
-	cds_list_for_each_entry_safe(p, tmp, &s->news, news) {
+	cds_list_for_each_entry_safe(p, tmp, &s->gossip, gossip) {
 		if (n == max)
 			break;
-		out[n].member = p->who;
+		out[n].member = p->member;
 		out[n].state = p->state;
-		out[n++].refutations = p->refute;
-		cds_list_del(&p->news);
-		p->in_news = false;
+		out[n++].refutations = p->refutations;
+		cds_list_del(&p->gossip);
+		p->gossip_queued = false;
 		if (--p->sends_left) {
-			cds_list_add_tail(&p->news, &s->news);
-			p->in_news = true;
+			cds_list_add_tail(&p->gossip, &s->gossip);
+			p->gossip_queued = true;
 		}
-		/* Once round is enough: the list turns as it is sent. */
-		if (p->in_news && s->news.next == &p->news)
+		/* Sent deltas go to the tail: one pass is enough. */
+		if (p->gossip_queued && s->gossip.next == &p->gossip)
 			break;
 	}
 	return n;
@@ -321,16 +326,16 @@
 	for (i = 0; i < s->nr && n < max; i++) {
 		if (s->peers[i]->state == SWIM_DEAD)
 			continue;
-		out[n].member = s->peers[i]->who;
+		out[n].member = s->peers[i]->member;
 		out[n].state = s->peers[i]->state;
-		out[n++].refutations = s->peers[i]->refute;
+		out[n++].refutations = s->peers[i]->refutations;
 	}
 	return n;
 }
 
 /* ---- Probing ---- */
 
-static int64_t suspect_bound(const struct swim *s)
+static int64_t suspect_timeout(const struct swim *s)
 {
 	return (int64_t)s->cfg.suspect_mult * log2_up(s->nr + 1) *
 	       s->cfg.period_ms;
@@ -338,7 +343,7 @@
 
 static void expire(struct swim *s, int64_t now_ms)
 {
-	const int64_t bound = suspect_bound(s);
+	const int64_t bound = suspect_timeout(s);
 	size_t i = 0;
 
 	while (i < s->nr) {
@@ -346,7 +351,7 @@
 		const int64_t age = now_ms - p->since_ms;
 
 		if (p->state == SWIM_SUSPECT && age >= bound) {
-			set_state(s, p, SWIM_DEAD, p->refute, now_ms);
+			set_state(s, p, SWIM_DEAD, p->refutations, now_ms);
 		} else if (p->state == SWIM_DEAD &&
 			   age >= s->cfg.keep_dead_ms) {
 			drop_peer(s, i);
@@ -369,7 +374,10 @@
 	}
 }
 
-/* Round robin over a shuffled list bounds the time until each is probed. */
+/*
+ * Round robin over a shuffled list, which bounds the time until every peer is
+ * probed.
+ */
 static struct peer *next_target(struct swim *s)
 {
 	size_t tries;
@@ -400,17 +408,17 @@
 	return a;
 }
 
-static struct swim_action ask_helpers(struct swim *s, const struct peer *p)
+static struct swim_action probe_indirectly(struct swim *s, const struct peer *p)
 {
 	struct swim_action a = { .kind = SWIM_DO_INDIRECT_PROBE,
-				 .target = p->who };
+				 .target = p->member };
 	struct view_member picked[4];
 	const size_t n = swim_pick(s, picked,
 				   s->cfg.helpers < 4 ? s->cfg.helpers + 1 : 4);
 	size_t i;
 
 	for (i = 0; i < n && a.nr_helpers < s->cfg.helpers; i++) {
-		if (picked[i].id != p->who.id)
+		if (picked[i].id != p->member.id)
 			a.helpers[a.nr_helpers++] = picked[i];
 	}
 	return a;
@@ -421,29 +429,29 @@
 	struct peer *p = find(s, s->probing);
 
 	s->phase = PROBE_IDLE;
-	/* A missed answer may be our own slowness: be slower to accuse. */
-	if (s->health < MAX_HEALTH)
-		s->health++;
+	/* This entry itself may be slow: be slower to suspect others. */
+	if (s->health_penalty < MAX_HEALTH_PENALTY)
+		s->health_penalty++;
 	if (p && (p->state == SWIM_ALIVE || p->state == SWIM_LEAVING))
-		set_state(s, p, SWIM_SUSPECT, p->refute, now_ms);
+		set_state(s, p, SWIM_SUSPECT, p->refutations, now_ms);
 }
 
 struct swim_action swim_tick(struct swim *s, int64_t now_ms)
 {
 	const struct swim_action none = { .kind = SWIM_DO_NOTHING };
-	const int64_t stretch = 1 + s->health;
+	const int64_t time_factor = 1 + s->health_penalty;
 	struct swim_action a = none;
 	struct peer *p;
 
 	if (s->phase == PROBE_DIRECT &&
-	    now_ms - s->probe_at >= s->cfg.ack_ms * stretch) {
+	    now_ms - s->probe_at >= s->cfg.ack_ms * time_factor) {
 		p = find(s, s->probing);
-		s->phase = PROBE_HELPED;
+		s->phase = PROBE_INDIRECT;
 		if (p)
-			return ask_helpers(s, p);
+			return probe_indirectly(s, p);
 	}
-	if (s->phase == PROBE_HELPED &&
-	    now_ms - s->probe_at >= 3 * s->cfg.ack_ms * stretch)
+	if (s->phase == PROBE_INDIRECT &&
+	    now_ms - s->probe_at >= 3 * s->cfg.ack_ms * time_factor)
 		probe_failed(s, now_ms);
 	if (now_ms < s->next_period || s->phase != PROBE_IDLE)
 		return none;
@@ -453,9 +461,9 @@
 	if (!p)
 		return probe_seed(s);
 	a.kind = SWIM_DO_PROBE;
-	a.target = p->who;
+	a.target = p->member;
 	s->phase = PROBE_DIRECT;
-	s->probing = p->who.id;
+	s->probing = p->member.id;
 	s->probe_at = now_ms;
 	return a;
 }
@@ -466,8 +474,8 @@
 
 	s->last_contact = now_ms;
 	/*
-	 * Only the suspected entry may clear its name for others; here the
-	 * answer just restarts our own clock on it.
+	 * Only the suspected entry may refute the suspicion for others. Here
+	 * the ack clears it locally and is not gossiped.
 	 */
 	if (p && p->state == SWIM_SUSPECT) {
 		p->state = SWIM_ALIVE;
@@ -477,8 +485,8 @@
 	if (s->phase == PROBE_IDLE || s->probing != id)
 		return;
 	s->phase = PROBE_IDLE;
-	if (s->health)
-		s->health--;
+	if (s->health_penalty)
+		s->health_penalty--;
 }
 
 /* ---- Look-ups ---- */
@@ -499,9 +507,9 @@
 
 	if (!p)
 		return false;
-	out->member = p->who;
+	out->member = p->member;
 	out->state = p->state;
-	out->refutations = p->refute;
+	out->refutations = p->refutations;
 	return true;
 }
 
@@ -528,7 +536,7 @@
 		const struct peer *p = s->peers[(start + i) % s->nr];
 
 		if (p->state == SWIM_ALIVE)
-			out[n++] = p->who;
+			out[n++] = p->member;
 	}
 	return n;
 }
--- a/lib/member/swim.h
+++ b/lib/member/swim.h
@@ -1,16 +1,20 @@
 /*
- * swim: who is alive, by probes between peers (SWIM with a local-health
- * factor). Pure: (state, event, now) -> actions.
+ * swim: failure detection and membership gossip after SWIM, with the local
+ * health factor of Lifeguard. Pure state machine: (state, event, now) ->
+ * actions; the caller sends the messages.
  *
- * Each period an entry probes one peer; if no acknowledgement comes it asks
- * a few others to probe for it, then spreads a suspicion. A suspected entry
- * that hears of it refutes with a higher number; otherwise it is declared
- * dead after a bound that grows with the logarithm of the fleet. News travel
- * as deltas on the probes, each a bounded number of times, so the bytes per
- * node do not grow with the fleet.
+ * Each period an entry probes one peer. If no acknowledgement arrives, it asks
+ * a few other peers to probe the target for it (an indirect probe); if that
+ * fails as well, it spreads a suspicion. A suspected entry that learns of the
+ * suspicion refutes it with a higher refutation number. Otherwise it is
+ * declared dead after a timeout that grows with the logarithm of the fleet's
+ * size. State changes are gossiped as deltas on the probes, each a limited
+ * number of times, so the bytes per node do not grow with the fleet.
  *
- * The result is a hint: it decides which entries are listed and probed and
- * what the next view should hold. No safety rule rests on it.
+ * The result is a hint: it decides which entries are listed and probed, and
+ * what the next view should contain. No safety property depends on it.
+ *
+ * Times are milliseconds of the caller's monotonic clock.
  */
 #ifndef SWIM_H
 #define SWIM_H
@@ -21,6 +25,7 @@
 
 #include "member/view.h"
 
+/* Ordered by severity: at the same refutation number the higher state wins. */
 enum swim_state {
 	SWIM_ALIVE,
 	SWIM_LEAVING,
@@ -28,23 +33,23 @@
 	SWIM_DEAD
 };
 
-/* What one entry says of another; also the form it travels in. */
+/* What one entry claims about another one or itself; sent in messages. */
 struct swim_delta {
 	struct view_member member;
 	enum swim_state state;
-	uint32_t refutations; /* raised only by `who` itself */
+	uint32_t refutations; /* raised only by `member` itself */
 };
 
 struct swim_config {
-	int64_t period_ms;     /* one probe a period */
-	int64_t ack_ms;	       /* wait before others are asked */
-	unsigned helpers;      /* how many others are asked */
-	unsigned suspect_mult; /* bound = mult * log2(n + 1) * period */
-	unsigned spread_mult;  /* a delta travels mult * log2(n + 1) times */
-	int64_t keep_dead_ms;  /* the dead are kept so long */
+	int64_t period_ms; /* one probe per period */
+	int64_t ack_ms;	   /* wait for an ack before indirect probes */
+	unsigned helpers;  /* peers asked for an indirect probe; at most 4 */
+	unsigned suspect_mult; /* timeout = mult * log2(n + 1) * period_ms */
+	unsigned spread_mult;  /* a delta is sent mult * log2(n + 1) times */
+	int64_t keep_dead_ms;  /* dead peers are remembered this long */
 };
 
-/* Sizes that suit loopback, a zone and a region alike. */
+/* Values that suit loopback, one zone and a whole region alike. */
 struct swim_config swim_default_config(void);
 
 enum swim_action_kind {
@@ -62,61 +67,79 @@
 
 struct swim;
 
+/*
+ * Creates the state of the entry `self` (copied, like `cfg`). `seed` is for the
+ * random probe order. Free it with swim_free(), which accepts NULL.
+ */
 struct swim *swim_create(const struct view_member *self,
 			 const struct swim_config *cfg, uint64_t seed);
 void swim_free(struct swim *s);
 
-/* Adds an address to contact when nothing is known of it yet. */
+/*
+ * Adds the address of a peer to probe while no peer is known. Ignored if it is
+ * this entry's own or if there are 16 already.
+ */
 void swim_seed(struct swim *s, const char *peer_address);
 
 /*
- * Called often (a few times a period); returns what to do now. At most one
- * action per call; call again until SWIM_DO_NOTHING.
+ * Returns the next action. To be called a few times per period. At most one
+ * action per call: call again until SWIM_DO_NOTHING.
  */
 struct swim_action swim_tick(struct swim *s, int64_t now_ms);
 
-/* `id` answered a probe, directly or through a helper. */
+/* The incarnation `id` acknowledged a probe, directly or through a helper. */
 void swim_ack(struct swim *s, uint64_t id, int64_t now_ms);
 
 /*
- * Takes in one delta. Returns true if it changed what is known. A delta that
+ * Applies a received delta. Returns true if it changed the state. A delta that
  * calls this entry suspect or dead is refuted.
  */
 bool swim_apply(struct swim *s, const struct swim_delta *d, int64_t now_ms);
 
-/* The same for what is old news to others (a first contact's tale): taken in
- * but not passed on. */
+/*
+ * The same without gossiping the change further: for a snapshot received on
+ * first contact, which is no news to the other peers.
+ */
 bool swim_apply_quietly(struct swim *s, const struct swim_delta *d,
 			int64_t now_ms);
 
-/* Marks this entry as leaving, which is spread like any news. */
+/* Marks this entry as leaving, which is gossiped like any change. */
 void swim_leave(struct swim *s);
 
-/* Takes up to `max` deltas to put on a message. Returns how many. */
+/*
+ * Writes up to `max` deltas to send with a message, and counts them as sent.
+ * Returns their number.
+ */
 size_t swim_take_deltas(struct swim *s, struct swim_delta *out, size_t max);
 
-/* All that is known, this entry included; for a peer that joins. */
+/*
+ * Writes up to `max` deltas with all that is known, this entry included and
+ * dead ones left out, for a peer that joins. Returns their number.
+ */
 size_t swim_snapshot(const struct swim *s, struct swim_delta *out, size_t max);
 
-/* The state of an incarnation; SWIM_DEAD if unknown. */
+/* Returns the state of an incarnation; SWIM_DEAD if it is unknown. */
 enum swim_state swim_state_of(const struct swim *s, uint64_t id);
 
-/* What is known of an incarnation; false if nothing is. */
+/*
+ * Writes what is known of a peer's incarnation. Returns false, with `out`
+ * untouched, if nothing is.
+ */
 bool swim_lookup(const struct swim *s, uint64_t id, struct swim_delta *out);
 
-/* True if this incarnation was seen alive before or is being probed. */
+/* True if the incarnation is this entry's or that of a known peer. */
 bool swim_knows(const struct swim *s, uint64_t id);
 
-/* Entries alive or suspect, this one included. */
+/* Returns the number of entries that are not dead, this one included. */
 size_t swim_count(const struct swim *s);
 
-/* Up to `max` random peers that are alive. */
+/* Writes up to `max` random peers that are alive. Returns their number. */
 size_t swim_pick(struct swim *s, struct view_member *out, size_t max);
 
-/* Changes whenever the set of alive, leaving or dead entries changes. */
+/* A counter that changes with every change of a known entry's state. */
 uint64_t swim_epoch(const struct swim *s);
 
-/* When a peer last answered (monotonic ms); -1 if never. */
+/* Time of the last acknowledgement from any peer; -1 if there was none. */
 int64_t swim_last_contact(const struct swim *s);
 
 #endif
--- a/lib/member/view.c
+++ b/lib/member/view.c
@@ -44,7 +44,10 @@
 	return false;
 }
 
-/* The heaviest member that may take the next place in the slot, or -1. */
+/*
+ * Returns the member of the highest weight that may become the next judge of
+ * the slot, or -1.
+ */
 static int best_for(const struct view *v, const struct view_slot *s,
 		    const uint64_t *weights, bool new_zone)
 {
@@ -64,8 +67,8 @@
 }
 
 /*
- * The reserve is outside the three judges, so that a hand-over does not make
- * one instance answer for two judges while another can be had.
+ * The reserve is not one of the judges, so that after a hand-over no instance
+ * has the votes of two judges as long as there is another instance.
  */
 static void fill_slot(struct view *v, unsigned slot, uint64_t *weights)
 {
@@ -219,7 +222,9 @@
 	size_t i;
 
 	if (number < 0 || !list || n > VIEW_MAX_MEMBERS) {
-		err_set(e, ERR_INVALID, "view: number or members are wrong");
+		err_set(e, ERR_INVALID,
+			"view: number or members are missing or out of "
+			"range");
 		return NULL;
 	}
 	ms = mem_new(n * sizeof(*ms));
