--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -1,4 +1,7 @@
-/* Views against a naive twin; probes and suspicion on a small fake network. */
+/*
+ * Views against a naive reference implementation; the failure detector on a
+ * simulated network of 8 entries.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -21,29 +24,32 @@
 
 /* ---- Views ---- */
 
-/* The naive twin: sort all members by weight, then take them in order. */
-struct weighed {
+/*
+ * The reference implementation: sorts all members by weight, then takes them in
+ * order, first with distinct zones.
+ */
+struct weighted {
 	uint64_t w;
 	unsigned i;
 };
 
-static int heavier(const void *a, const void *b)
+static int by_weight_descending(const void *a, const void *b)
 {
-	const struct weighed *x = a, *y = b;
+	const struct weighted *x = a, *y = b;
 
 	return x->w > y->w ? -1 : x->w < y->w;
 }
 
-static void naive_judges(const struct view *v, unsigned slot, int out[3])
+static void reference_judges(const struct view *v, unsigned slot, int out[3])
 {
 	const uint64_t key = hsh_bytes(&slot, sizeof(slot), 1);
-	struct weighed w[64] = { { 0, 0 } };
+	struct weighted w[64] = { { 0, 0 } };
 	unsigned n = 0, i, j, pass;
 
 	for (i = 0; i < v->nr; i++)
-		w[i] = (struct weighed){ hsh_rendezvous(key, v->members[i].id),
-					 i };
-	qsort(w, v->nr, sizeof(w[0]), heavier);
+		w[i] = (struct weighted){ hsh_rendezvous(key, v->members[i].id),
+					  i };
+	qsort(w, v->nr, sizeof(w[0]), by_weight_descending);
 	out[0] = out[1] = out[2] = -1;
 	for (pass = 0; pass < 2; pass++) {
 		for (i = 0; i < v->nr && n < 3; i++) {
@@ -61,7 +67,7 @@
 	}
 }
 
-static void view_like_naive(void)
+static void view_matches_reference(void)
 {
 	static const struct {
 		unsigned nr, zones;
@@ -81,7 +87,7 @@
 			int want[3];
 			bool same = true;
 
-			naive_judges(v, slot, want);
+			reference_judges(v, slot, want);
 			for (i = 0; i < 3 && i < s->nr_judges; i++)
 				same &= s->judge[i] == want[i];
 			CU_ASSERT(same);
@@ -123,7 +129,7 @@
 	view_free(x);
 }
 
-/* Two incarnations of one name: the younger counts. */
+/* Of two incarnations of one name the view keeps the younger. */
 static void view_incarnations(void)
 {
 	struct view_member m[2];
@@ -162,7 +168,7 @@
 	return -1;
 }
 
-/* A probe and its answer, with what both have to tell. */
+/* A probe and its ack, each with the sender's deltas. False if it is lost. */
 static bool exchange(struct net *n, int a, int b)
 {
 	struct swim_delta d[64];
@@ -247,7 +253,7 @@
 		swim_free(n->s[i]);
 }
 
-static void all_meet(void)
+static void all_join_through_one_seed(void)
 {
 	struct net n;
 	int i, j;
@@ -263,11 +269,10 @@
 }
 
 /*
- * Symptom: an instance is gone and requests are still sent to it.
- * Events: entry 3 dies without a word.
- * Cause: nobody noticed; each must hold it dead within the bound.
+ * Guards against requests that are still sent to a lost instance: entry 3
+ * crashes, and every other entry must consider it dead within the time-out.
  */
-static void death_is_noticed(void)
+static void crash_is_detected(void)
 {
 	struct net n;
 	int i;
@@ -284,11 +289,10 @@
 }
 
 /*
- * Symptom: a healthy entry is taken for dead.
- * Events: the link between two entries breaks, all others work.
- * Cause: one entry's view of a peer; helpers must outvote it.
+ * Guards against a healthy entry that is declared dead because only its link to
+ * one peer is broken: indirect probes must still reach it.
  */
-static void one_broken_link(void)
+static void broken_link_is_no_crash(void)
 {
 	struct net n;
 	int i;
@@ -303,7 +307,7 @@
 	close_net(&n);
 }
 
-static void suspicion_is_refuted(void)
+static void suspected_entry_refutes(void)
 {
 	struct swim_delta d = { .state = SWIM_SUSPECT };
 	struct net n;
@@ -319,8 +323,8 @@
 	close_net(&n);
 }
 
-/* A restart at the same address is another incarnation; the old one ends. */
-static void restart_buries_the_old(void)
+/* A restart at the same address is a new incarnation; the old one is dead. */
+static void restart_marks_old_incarnation_dead(void)
 {
 	struct swim_delta d = { .state = SWIM_ALIVE };
 	struct net n;
@@ -330,7 +334,7 @@
 	d.member.boot += 1000;
 	CU_ASSERT(swim_apply(n.s[0], &d, n.now));
 	CU_ASSERT_EQUAL(swim_state_of(n.s[0], n.m[6].id), SWIM_DEAD);
-	/* News of a still older one change nothing. */
+	/* A delta of a still older incarnation changes nothing. */
 	d.member.boot = 1;
 	swim_apply(n.s[0], &d, n.now);
 	d.member = n.m[6];
@@ -340,7 +344,7 @@
 	close_net(&n);
 }
 
-static void leaving_spreads(void)
+static void leaving_is_gossiped(void)
 {
 	struct net n;
 	int i;
@@ -353,8 +357,11 @@
 	close_net(&n);
 }
 
-/* Bad news from a peer is an outcome, not a crash. */
-static void bad_deltas(void)
+/*
+ * A delta without a name, with an invalid state, or of the death of an unknown
+ * peer is rejected.
+ */
+static void invalid_deltas_are_ignored(void)
 {
 	struct swim_delta d = { .state = SWIM_ALIVE };
 	struct net n;
@@ -371,16 +378,18 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "view table like the naive twin", view_like_naive },
-	{ "view: order and JSON", view_order_and_json },
-	{ "view: incarnations", view_incarnations },
-	{ "all meet through one seed", all_meet },
-	{ "a death is noticed by all", death_is_noticed },
-	{ "one broken link buries nobody", one_broken_link },
-	{ "a suspicion is refuted", suspicion_is_refuted },
-	{ "a restart buries the old incarnation", restart_buries_the_old },
-	{ "leaving spreads", leaving_spreads },
-	{ "bad deltas", bad_deltas },
+	{ "view table matches the reference implementation",
+	  view_matches_reference },
+	{ "view: independent of order, survives JSON", view_order_and_json },
+	{ "view: the younger incarnation is kept", view_incarnations },
+	{ "all join through one seed", all_join_through_one_seed },
+	{ "a crash is detected by all", crash_is_detected },
+	{ "one broken link is no crash", broken_link_is_no_crash },
+	{ "a suspected entry refutes", suspected_entry_refutes },
+	{ "a restart marks the old incarnation dead",
+	  restart_marks_old_incarnation_dead },
+	{ "leaving is gossiped", leaving_is_gossiped },
+	{ "invalid deltas are ignored", invalid_deltas_are_ignored },
 };
 
 UNIT_MAIN("member", tests)
--- a/tests/test_prs.c
+++ b/tests/test_prs.c
@@ -1,4 +1,4 @@
-/* What entries tell each other: encoding, echoes, who counts. */
+/* Gossip datagrams: encoding and echoes; which peers count as running. */
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "member/prs.h"
 #include "support/unit.h"
 
-static struct gsp_record said, heard;
+static struct gsp_record outgoing, incoming;
 
 static void fill(struct gsp_record *r, const char *name, uint32_t seq)
 {
@@ -58,47 +58,48 @@
 	};
 }
 
-static void record_survives_the_wire(void)
+static void record_round_trips(void)
 {
 	char bytes[GSP_MAX_BYTES];
 	size_t n;
 
-	fill(&said, "edge-1", 4);
-	n = gsp_encode(&said, bytes, sizeof(bytes));
+	fill(&outgoing, "edge-1", 4);
+	n = gsp_encode(&outgoing, bytes, sizeof(bytes));
 	CU_ASSERT(n > 0 && n < 700);
-	CU_ASSERT(gsp_decode(&heard, bytes, n));
-	CU_ASSERT_STRING_EQUAL(heard.name, "edge-1");
-	CU_ASSERT_EQUAL(heard.cfg_confirmed_age_ms, 340);
-	CU_ASSERT_EQUAL(heard.loads[1].prefill_tokens, 5000);
-	CU_ASSERT_DOUBLE_EQUAL(heard.demands[0].per_s, 1234.5, 0.001);
-	CU_ASSERT_EQUAL(heard.counts[0].runs, 17);
-	CU_ASSERT_EQUAL(heard.counts[0].source, 5);
-	CU_ASSERT_EQUAL(heard.nr_services, 1);
-	CU_ASSERT_EQUAL(heard.services[0].estimates.service, 42);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].prefill_tokens_per_s, 152000,
-			       1);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].estimates.first[SVC_READ_MS],
-			       16.5, 0.001);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].estimates.run_ms, 1150, 0.01);
-	CU_ASSERT_EQUAL(heard.store_era, 3);
-	CU_ASSERT_EQUAL(heard.nr_fatal, 1);
-	CU_ASSERT(hsh_wide_equal(heard.fatal[0].content,
+	CU_ASSERT(gsp_decode(&incoming, bytes, n));
+	CU_ASSERT_STRING_EQUAL(incoming.name, "edge-1");
+	CU_ASSERT_EQUAL(incoming.cfg_confirmed_age_ms, 340);
+	CU_ASSERT_EQUAL(incoming.loads[1].prefill_tokens, 5000);
+	CU_ASSERT_DOUBLE_EQUAL(incoming.demands[0].per_s, 1234.5, 0.001);
+	CU_ASSERT_EQUAL(incoming.counts[0].runs, 17);
+	CU_ASSERT_EQUAL(incoming.counts[0].source, 5);
+	CU_ASSERT_EQUAL(incoming.nr_services, 1);
+	CU_ASSERT_EQUAL(incoming.services[0].estimates.service, 42);
+	CU_ASSERT_DOUBLE_EQUAL(incoming.services[0].prefill_tokens_per_s,
+			       152000, 1);
+	CU_ASSERT_DOUBLE_EQUAL(
+		incoming.services[0].estimates.first[SVC_READ_MS], 16.5, 0.001);
+	CU_ASSERT_DOUBLE_EQUAL(incoming.services[0].estimates.run_ms, 1150,
+			       0.01);
+	CU_ASSERT_EQUAL(incoming.store_era, 3);
+	CU_ASSERT_EQUAL(incoming.nr_fatal, 1);
+	CU_ASSERT(hsh_wide_equal(incoming.fatal[0].content,
 				 (struct hsh_wide){ 7, 8 }));
-	CU_ASSERT_EQUAL(heard.fatal[0].run_at, 13);
-	CU_ASSERT_EQUAL(heard.fatal[0].ends[0].age_ms, 1500);
-	CU_ASSERT_EQUAL(heard.fatal[0].ends[1].weight, 30);
-	CU_ASSERT(heard.fatal[0].ends[1].cleared);
-	CU_ASSERT_EQUAL(heard.nr_tallies, 1);
-	CU_ASSERT_EQUAL(heard.tallies[0].order, 21);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.route, 22);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.group, 3);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.sent, 40);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.answered, 39);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.failed, 5);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.late, 6);
-	CU_ASSERT_EQUAL(heard.tallies[0].row.broken, 7);
-	CU_ASSERT_EQUAL(heard.nr_rolled_back, 1);
-	CU_ASSERT_EQUAL(heard.rolled_back[0], 23);
+	CU_ASSERT_EQUAL(incoming.fatal[0].run_at, 13);
+	CU_ASSERT_EQUAL(incoming.fatal[0].ends[0].age_ms, 1500);
+	CU_ASSERT_EQUAL(incoming.fatal[0].ends[1].weight, 30);
+	CU_ASSERT(incoming.fatal[0].ends[1].cleared);
+	CU_ASSERT_EQUAL(incoming.nr_tallies, 1);
+	CU_ASSERT_EQUAL(incoming.tallies[0].order, 21);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.route, 22);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.group, 3);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.sent, 40);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.answered, 39);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.failed, 5);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.late, 6);
+	CU_ASSERT_EQUAL(incoming.tallies[0].row.broken, 7);
+	CU_ASSERT_EQUAL(incoming.nr_rolled_back, 1);
+	CU_ASSERT_EQUAL(incoming.rolled_back[0], 23);
 }
 
 /* Length of the datagram without the fields of roll-outs. */
@@ -106,46 +107,50 @@
 {
 	char bytes[GSP_MAX_BYTES];
 
-	fill(&said, "edge-1", 4);
-	said.nr_tallies = 0;
-	said.nr_rolled_back = 0;
-	return gsp_encode(&said, bytes, sizeof(bytes)) - 2 * sizeof(uint32_t);
+	fill(&outgoing, "edge-1", 4);
+	outgoing.nr_tallies = 0;
+	outgoing.nr_rolled_back = 0;
+	return gsp_encode(&outgoing, bytes, sizeof(bytes)) -
+	       2 * sizeof(uint32_t);
 }
 
-/* Length of the datagram without what an earlier kind of entry does not tell. */
-static size_t earlier_length(void)
+/* Length of the datagram without the fields from the store era on. */
+static size_t length_before_era(void)
 {
 	char bytes[GSP_MAX_BYTES];
 
-	fill(&said, "edge-1", 4);
-	said.nr_fatal = 0;
-	said.nr_tallies = 0;
-	said.nr_rolled_back = 0;
-	return gsp_encode(&said, bytes, sizeof(bytes)) - 3 * sizeof(uint32_t) -
-	       sizeof(int64_t);
+	fill(&outgoing, "edge-1", 4);
+	outgoing.nr_fatal = 0;
+	outgoing.nr_tallies = 0;
+	outgoing.nr_rolled_back = 0;
+	return gsp_encode(&outgoing, bytes, sizeof(bytes)) -
+	       3 * sizeof(uint32_t) - sizeof(int64_t);
 }
 
-/* Entries of before and after run side by side while the fleet is replaced. */
-static void earlier_entries_are_understood(void)
+/* Releases run side by side while the fleet is upgraded. */
+static void datagrams_of_earlier_releases_decode(void)
 {
-	const size_t earlier = earlier_length();
+	const size_t earlier = length_before_era();
 	char bytes[GSP_MAX_BYTES];
 
-	fill(&said, "edge-1", 4);
-	CU_ASSERT(gsp_encode(&said, bytes, sizeof(bytes)) > earlier);
-	CU_ASSERT(gsp_decode(&heard, bytes, earlier));
-	CU_ASSERT_EQUAL(heard.nr_fatal, 0);
-	CU_ASSERT_EQUAL(heard.counts[0].runs, 17);
-	CU_ASSERT(gsp_decode(&heard, bytes, length_before_rollouts()));
-	CU_ASSERT_EQUAL(heard.nr_tallies, 0);
-	CU_ASSERT_EQUAL(heard.nr_rolled_back, 0);
-	CU_ASSERT(heard.nr_fatal > 0);
+	fill(&outgoing, "edge-1", 4);
+	CU_ASSERT(gsp_encode(&outgoing, bytes, sizeof(bytes)) > earlier);
+	CU_ASSERT(gsp_decode(&incoming, bytes, earlier));
+	CU_ASSERT_EQUAL(incoming.nr_fatal, 0);
+	CU_ASSERT_EQUAL(incoming.counts[0].runs, 17);
+	CU_ASSERT(gsp_decode(&incoming, bytes, length_before_rollouts()));
+	CU_ASSERT_EQUAL(incoming.nr_tallies, 0);
+	CU_ASSERT_EQUAL(incoming.nr_rolled_back, 0);
+	CU_ASSERT(incoming.nr_fatal > 0);
 }
 
-/* Datagrams that are cut, altered or not ours are refused or decode whole. */
-static void bad_bytes_do_no_harm(void)
+/*
+ * Truncated, altered or foreign datagrams are rejected or decode within the
+ * bounds of a record.
+ */
+static void corrupt_datagrams_are_rejected_or_valid(void)
 {
-	const size_t earlier = earlier_length();
+	const size_t earlier = length_before_era();
 	const size_t before_rollouts = length_before_rollouts();
 	char bytes[GSP_MAX_BYTES], bad[GSP_MAX_BYTES];
 	struct rnd rnd;
@@ -153,69 +158,68 @@
 	int round;
 
 	rnd_seed(&rnd, 9);
-	fill(&said, "edge-1", 4);
-	n = gsp_encode(&said, bytes, sizeof(bytes));
+	fill(&outgoing, "edge-1", 4);
+	n = gsp_encode(&outgoing, bytes, sizeof(bytes));
 	for (k = 0; k < n; k += 4)
-		CU_ASSERT_EQUAL(gsp_decode(&heard, bytes, k),
+		CU_ASSERT_EQUAL(gsp_decode(&incoming, bytes, k),
 				k == earlier || k == before_rollouts);
 	for (round = 0; round < 3000; round++) {
 		memcpy(bad, bytes, n);
 		for (k = 0; k < 1 + rnd_below(&rnd, 4); k++)
 			bad[rnd_below(&rnd, (uint32_t)n)] ^=
 				(char)(1 << rnd_below(&rnd, 8));
-		if (!gsp_decode(&heard, bad, n))
+		if (!gsp_decode(&incoming, bad, n))
 			continue;
-		CU_ASSERT(heard.nr_counts <= GSP_MAX_COUNTS);
-		CU_ASSERT(heard.nr_services <= GSP_MAX_SERVICES);
-		CU_ASSERT(heard.nr_fatal <= FATAL_MAX_TOLD);
-		CU_ASSERT(heard.nr_tallies <= GSP_MAX_TALLIES);
-		CU_ASSERT(heard.nr_rolled_back <= GSP_MAX_ROLLED_BACK);
-		CU_ASSERT(strlen(heard.name) < GSP_NAME_SIZE);
+		CU_ASSERT(incoming.nr_counts <= GSP_MAX_COUNTS);
+		CU_ASSERT(incoming.nr_services <= GSP_MAX_SERVICES);
+		CU_ASSERT(incoming.nr_fatal <= FATAL_MAX_TOLD);
+		CU_ASSERT(incoming.nr_tallies <= GSP_MAX_TALLIES);
+		CU_ASSERT(incoming.nr_rolled_back <= GSP_MAX_ROLLED_BACK);
+		CU_ASSERT(strlen(incoming.name) < GSP_NAME_SIZE);
 	}
-	CU_ASSERT_FALSE(gsp_decode(&heard, "", 0));
+	CU_ASSERT_FALSE(gsp_decode(&incoming, "", 0));
 }
 
 /*
- * Symptom: the number of endpoints ordered was no number. Sequence: one bit
- * of a datagram flips, and a rate in it becomes "not a number". Cause: it was
- * added to the others' rates.
+ * Guards against a NaN as the number of endpoints to order: a flipped bit in a
+ * datagram made a rate NaN, which was added to the other entries' rates.
  */
-static void rates_that_are_no_numbers_are_refused(void)
+static void invalid_rates_are_rejected(void)
 {
 	char bytes[GSP_MAX_BYTES];
 	size_t n;
 
-	fill(&said, "edge-1", 4);
-	said.services[0].prefill_tokens_per_s = NAN;
-	n = gsp_encode(&said, bytes, sizeof(bytes));
-	CU_ASSERT_FALSE(gsp_decode(&heard, bytes, n));
-	fill(&said, "edge-1", 4);
-	said.demands[0].per_s = INFINITY;
-	n = gsp_encode(&said, bytes, sizeof(bytes));
-	CU_ASSERT_FALSE(gsp_decode(&heard, bytes, n));
-	fill(&said, "edge-1", 4);
-	said.services[0].prefill_tokens_per_s = -1;
-	n = gsp_encode(&said, bytes, sizeof(bytes));
-	CU_ASSERT_FALSE(gsp_decode(&heard, bytes, n));
+	fill(&outgoing, "edge-1", 4);
+	outgoing.services[0].prefill_tokens_per_s = NAN;
+	n = gsp_encode(&outgoing, bytes, sizeof(bytes));
+	CU_ASSERT_FALSE(gsp_decode(&incoming, bytes, n));
+	fill(&outgoing, "edge-1", 4);
+	outgoing.demands[0].per_s = INFINITY;
+	n = gsp_encode(&outgoing, bytes, sizeof(bytes));
+	CU_ASSERT_FALSE(gsp_decode(&incoming, bytes, n));
+	fill(&outgoing, "edge-1", 4);
+	outgoing.services[0].prefill_tokens_per_s = -1;
+	n = gsp_encode(&outgoing, bytes, sizeof(bytes));
+	CU_ASSERT_FALSE(gsp_decode(&incoming, bytes, n));
 }
 
-/* A full record still fits into a datagram, or is not sent. */
+/* A record with many rows fits; one that does not fit is not encoded. */
 static void full_record_is_bounded(void)
 {
 	char bytes[GSP_MAX_BYTES];
 	unsigned i;
 
-	fill(&said, "edge-1", 4);
-	said.nr_loads = GSP_MAX_LOADS;
-	said.nr_counts = GSP_MAX_COUNTS;
-	said.nr_services = GSP_MAX_SERVICES;
+	fill(&outgoing, "edge-1", 4);
+	outgoing.nr_loads = GSP_MAX_LOADS;
+	outgoing.nr_counts = GSP_MAX_COUNTS;
+	outgoing.nr_services = GSP_MAX_SERVICES;
 	for (i = 0; i < GSP_MAX_COUNTS; i++)
-		str_copy(said.counts[i].account, "account", GSP_NAME_SIZE);
-	CU_ASSERT(gsp_encode(&said, bytes, sizeof(bytes)) > 0);
-	CU_ASSERT_EQUAL(gsp_encode(&said, bytes, 100), 0);
+		str_copy(outgoing.counts[i].account, "account", GSP_NAME_SIZE);
+	CU_ASSERT(gsp_encode(&outgoing, bytes, sizeof(bytes)) > 0);
+	CU_ASSERT_EQUAL(gsp_encode(&outgoing, bytes, 100), 0);
 }
 
-static struct prs_peer *registered(struct prs *p, const char *name)
+static struct prs_peer *register_peer(struct prs *p, const char *name)
 {
 	struct prs_info info;
 
@@ -226,74 +230,75 @@
 	return prs_register(p, &info, 0);
 }
 
-static void only_newer_words_of_known_entries_count(void)
+static void only_newer_datagrams_of_known_entries_count(void)
 {
 	struct prs p;
 
 	prs_init(&p);
-	fill(&said, "edge-1", 4);
-	CU_ASSERT_PTR_NULL(prs_receive(&p, &said, 1000, 0));
-	registered(&p, "edge-1");
-	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &said, 1000, 0));
-	CU_ASSERT_PTR_NULL(prs_receive(&p, &said, 1001, 0));
-	said.seq = 3;
-	CU_ASSERT_PTR_NULL(prs_receive(&p, &said, 1002, 0));
-	/* Another boot begins anew. */
-	said.boot = 78;
-	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &said, 1003, 0));
+	fill(&outgoing, "edge-1", 4);
+	CU_ASSERT_PTR_NULL(prs_receive(&p, &outgoing, 1000, 0));
+	register_peer(&p, "edge-1");
+	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &outgoing, 1000, 0));
+	CU_ASSERT_PTR_NULL(prs_receive(&p, &outgoing, 1001, 0));
+	outgoing.seq = 3;
+	CU_ASSERT_PTR_NULL(prs_receive(&p, &outgoing, 1002, 0));
+	/* Sequence numbers start again with a new boot. */
+	outgoing.boot = 78;
+	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &outgoing, 1003, 0));
 	prs_free(&p);
 }
 
 /*
- * Symptom: a key that was taken away still worked on an entry that had been
- * frozen. Sequence: a peer's datagram "version 5 is the newest, age 100 ms"
- * arrives, lies unread for six seconds of a freeze, is read, and taken for
- * fresh. Cause: the age was counted from its reading. The echo of our own
- * stamp bounds when it was sent.
+ * Guards against a revoked API key that still works on an entry whose process
+ * was frozen. A peer's datagram "version 5 is the newest, confirmed 100 ms ago"
+ * stayed in the receive buffer during six seconds of a freeze, and its age was
+ * then counted from when it was read. The echo of the receiver's own timestamp
+ * bounds when it was sent.
  */
-static void age_counts_from_our_own_stamp(void)
+static void config_age_counts_from_own_stamp(void)
 {
 	struct prs p;
 	struct prs_peer *peer;
 
 	prs_init(&p);
-	peer = registered(&p, "edge-1");
-	/* The peer got our stamp of 5000, held it for 50 ms, then wrote. */
-	fill(&said, "edge-1", 4);
-	said.cfg_confirmed_age_ms = 100;
-	said.echo_boot = 42;
-	said.echo_stamp_ms = 5000;
-	said.echo_hold_ms = 50;
-	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&said, 42), 4950);
-	/* Not ours, or of our life before: says nothing. */
-	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&said, 43), 0);
-	said.cfg_confirmed_age_ms = -1;
-	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&said, 42), 0);
-	/* What we echo. */
-	fill(&said, "edge-1", 5);
-	prs_receive(&p, &said, 9000, 0);
-	prs_fill_echo(peer, &heard, 9080);
-	CU_ASSERT_EQUAL(heard.echo_boot, 77);
-	CU_ASSERT_EQUAL(heard.echo_stamp_ms, 123456);
-	CU_ASSERT_EQUAL(heard.echo_hold_ms, 80);
+	peer = register_peer(&p, "edge-1");
+	/* The peer received our stamp of 5000 and replied after 50 ms. */
+	fill(&outgoing, "edge-1", 4);
+	outgoing.cfg_confirmed_age_ms = 100;
+	outgoing.echo_boot = 42;
+	outgoing.echo_stamp_ms = 5000;
+	outgoing.echo_hold_ms = 50;
+	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&outgoing, 42), 4950);
+	/* An echo of another process, or of ours before a restart: unknown. */
+	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&outgoing, 43), 0);
+	outgoing.cfg_confirmed_age_ms = -1;
+	CU_ASSERT_EQUAL(prs_config_confirmed_ms(&outgoing, 42), 0);
+	/* The echo that we send. */
+	fill(&outgoing, "edge-1", 5);
+	prs_receive(&p, &outgoing, 9000, 0);
+	prs_fill_echo(peer, &incoming, 9080);
+	CU_ASSERT_EQUAL(incoming.echo_boot, 77);
+	CU_ASSERT_EQUAL(incoming.echo_stamp_ms, 123456);
+	CU_ASSERT_EQUAL(incoming.echo_hold_ms, 80);
 	prs_free(&p);
 }
 
 /*
- * An entry whose registration lapsed while the store was away is alive as
- * long as it is heard, and shares the limits while it may be running.
+ * An entry whose registration expired while the store was unreachable is alive
+ * as long as its datagrams arrive, and shares the limits while it may be
+ * running.
  */
-static void heard_entries_outlive_their_registration(void)
+static void live_entries_outlive_their_registration(void)
 {
 	struct prs p;
 	struct prs_peer *peer;
 
 	prs_init(&p);
-	peer = registered(&p, "edge-1");
-	registered(&p, "edge-2");
+	peer = register_peer(&p, "edge-1");
+	register_peer(&p, "edge-2");
 	CU_ASSERT_EQUAL(prs_count_running(&p, 0), 3);
-	fill(&said, "edge-1", 4);
-	prs_receive(&p, &said, 1000, 0);
+	fill(&outgoing, "edge-1", 4);
+	prs_receive(&p, &outgoing, 1000, 0);
 	prs_unregister(&p, "edge-1", 1100);
 	prs_unregister(&p, "edge-2", 1100);
 	CU_ASSERT(prs_alive(peer, 1500));
@@ -305,42 +310,45 @@
 }
 
 /*
- * Symptom: a report of usage lacked the counts of most entries. Sequence: the
- * holder of the duties had just changed, and the others' datagrams did not
- * carry their counts to it yet, but came. Cause: "heard since the window's
- * end" is not "told its counts since then".
+ * Guards against a usage report that lacks the counts of most entries: the duty
+ * holder had just changed, and the other entries' datagrams arrived but did not
+ * contain counts yet. A datagram since the window's end is no proof that the
+ * counts were sent since then.
  */
-static void heard_is_not_told_its_counts(void)
+static void datagram_without_counts_is_no_report(void)
 {
 	struct prs_peer *peer;
 	struct prs p;
 
 	prs_init(&p);
-	peer = registered(&p, "edge-1");
-	fill(&said, "edge-1", 4);
-	said.with_counts = true;
-	prs_receive(&p, &said, 1000, 0);
-	CU_ASSERT_EQUAL(peer->counts_true_ms, said.true_ms);
-	fill(&heard, "edge-1", 5);
-	heard.true_ms += 900;
-	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &heard, 1900, 0));
-	CU_ASSERT_EQUAL(peer->counts_true_ms, said.true_ms);
+	peer = register_peer(&p, "edge-1");
+	fill(&outgoing, "edge-1", 4);
+	outgoing.with_counts = true;
+	prs_receive(&p, &outgoing, 1000, 0);
+	CU_ASSERT_EQUAL(peer->counts_true_ms, outgoing.true_ms);
+	fill(&incoming, "edge-1", 5);
+	incoming.true_ms += 900;
+	CU_ASSERT_PTR_NOT_NULL(prs_receive(&p, &incoming, 1900, 0));
+	CU_ASSERT_EQUAL(peer->counts_true_ms, outgoing.true_ms);
 	prs_free(&p);
 }
 
 static const struct unit_test tests[] = {
-	{ "earlier entries are understood", earlier_entries_are_understood },
-	{ "a record survives the wire", record_survives_the_wire },
-	{ "bad bytes do no harm", bad_bytes_do_no_harm },
+	{ "datagrams of earlier releases decode",
+	  datagrams_of_earlier_releases_decode },
+	{ "a record round-trips", record_round_trips },
+	{ "corrupt datagrams are rejected or valid",
+	  corrupt_datagrams_are_rejected_or_valid },
 	{ "a full record is bounded", full_record_is_bounded },
-	{ "only newer words of known entries count",
-	  only_newer_words_of_known_entries_count },
-	{ "age counts from our own stamp", age_counts_from_our_own_stamp },
-	{ "heard is not told its counts", heard_is_not_told_its_counts },
-	{ "heard entries outlive their registration",
-	  heard_entries_outlive_their_registration },
-	{ "rates that are no numbers are refused",
-	  rates_that_are_no_numbers_are_refused },
+	{ "only newer datagrams of known entries count",
+	  only_newer_datagrams_of_known_entries_count },
+	{ "config age counts from own stamp",
+	  config_age_counts_from_own_stamp },
+	{ "a datagram without counts is no report",
+	  datagram_without_counts_is_no_report },
+	{ "live entries outlive their registration",
+	  live_entries_outlive_their_registration },
+	{ "invalid rates are rejected", invalid_rates_are_rejected },
 };
 
 UNIT_MAIN("prs", tests)
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -1,4 +1,4 @@
-/* Which entries do what only some of them should, and how many are named. */
+/* The ranking of entries by purpose, and how many are advertised. */
 #include <stdio.h>
 #include <string.h>
 
@@ -35,11 +35,11 @@
 }
 
 /*
- * Symptom: two entries disagree about who watches the store, and follow each
- * other. Events: each learned of the others in another order. Cause: a choice
- * that depends on the order of a list.
+ * Guards against two entries that follow each other, because they learned of
+ * the fleet in different orders and so disagree about which ones watch the
+ * store.
  */
-static void order_of_learning_does_not_matter(void)
+static void ranking_is_independent_of_order(void)
 {
 	struct rnd rnd;
 	int i, round, at[ENTRIES];
@@ -70,8 +70,8 @@
 	}
 }
 
-/* The few that are looked for are those that sorting all would put in front. */
-static void the_first_are_those_of_the_whole_order(void)
+/* rank_select() puts the same rows in front as rank_sort(). */
+static void select_matches_sort(void)
 {
 	static const size_t firsts[] = { 0, 1, 3, 10, ENTRIES, ENTRIES + 5 };
 	size_t i, k;
@@ -93,8 +93,8 @@
 	}
 }
 
-/* When one leaves, the others keep their order: nobody else changes part. */
-static void the_rest_stays_in_order(void)
+/* When an entry leaves, the others keep their order and so their tasks. */
+static void removal_keeps_the_order(void)
 {
 	size_t i, k;
 
@@ -135,10 +135,10 @@
 }
 
 /*
- * Symptom: a zone is lost and with it most of the entries that callers were
- * given. Cause: a choice that pays no heed to zones.
+ * Guards against the loss of most advertised entries with one zone, which a
+ * choice regardless of zones allows.
  */
-static void zones_take_turns(void)
+static void zones_are_interleaved(void)
 {
 	size_t i, k, count[ZONES];
 
@@ -156,7 +156,7 @@
 	}
 }
 
-static void more_than_fit_are_left_out(void)
+static void entries_beyond_the_maximum_are_ignored(void)
 {
 	int i;
 
@@ -167,12 +167,12 @@
 }
 
 /*
- * Symptom: each time one of ten watchers of the store went, nearly all of 285
- * entries asked the store once. Sequence: the watchers are ranked anew, and
- * each entry follows another one, which has not kept what it lacks. Cause: the
- * watcher was counted off by the remainder.
+ * Guards against nearly all of 285 entries calling the store each time one of
+ * ten watchers leaves. The watcher was chosen by the remainder of a hash, so
+ * that most entries then followed another watcher, which had not kept the
+ * changes that they lacked.
  */
-static void few_keys_move_when_one_goes(void)
+static void removal_moves_only_its_keys(void)
 {
 	enum {
 		WATCHERS = 10,
@@ -205,8 +205,8 @@
 	CU_ASSERT(had > KEYS / WATCHERS / 2 && had < KEYS * 2 / WATCHERS);
 }
 
-/* The pattern: a small fleet, a large one that is idle, the target's peak. */
-static void as_many_are_named_as_the_load_needs(void)
+/* A small fleet, a large one at low load, and the targeted peak load. */
+static void advertised_entries_follow_the_load(void)
 {
 	CU_ASSERT_EQUAL(advertise_count(0, 0), 0);
 	CU_ASSERT_EQUAL(advertise_count(50, 8), 8);
@@ -219,17 +219,17 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "order of learning does not matter",
-	  order_of_learning_does_not_matter },
-	{ "the first are those of the whole order",
-	  the_first_are_those_of_the_whole_order },
-	{ "the rest stays in order", the_rest_stays_in_order },
+	{ "the ranking is independent of order",
+	  ranking_is_independent_of_order },
+	{ "select matches sort", select_matches_sort },
+	{ "a removal keeps the order", removal_keeps_the_order },
 	{ "purposes rank differently", purposes_rank_differently },
-	{ "zones take turns", zones_take_turns },
-	{ "more than fit are left out", more_than_fit_are_left_out },
-	{ "few keys move when one goes", few_keys_move_when_one_goes },
-	{ "as many are named as the load needs",
-	  as_many_are_named_as_the_load_needs },
+	{ "zones are interleaved", zones_are_interleaved },
+	{ "entries beyond the maximum are ignored",
+	  entries_beyond_the_maximum_are_ignored },
+	{ "a removal moves only its keys", removal_moves_only_its_keys },
+	{ "advertised entries follow the load",
+	  advertised_entries_follow_the_load },
 };
 
 UNIT_MAIN("rank", tests)
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -1,7 +1,7 @@
 /*
- * Some hundred entries that start together before a stand-in of the store:
- * what they ask it until all know each other. Modules and rules are the
- * product's; calls, datagrams and time are the stand-in's.
+ * Simulates up to 300 entries that start together, and counts their calls to
+ * the store until all know each other. The modules under test decide; the
+ * store's answers, datagrams and time are simulated.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,26 +13,26 @@
 #include "store/mir.h"
 #include "support/unit.h"
 
-#define MOST 300
-#define PLAYED_MS 8000
+#define MAX_ENTRIES 300
+#define SIMULATED_MS 8000
 #define TICK_MS 50
 #define STARTS_WITHIN_MS 300
-#define ANSWER_MS 8
-#define ROUND_MS 200
-#define ROUNDS 3 /* in which each entry is told once */
-#define SILENT_MS 1000
-#define OWN_WAIT_MS 2000
+#define STORE_LATENCY_MS 8
+#define GOSSIP_ROUND_MS 200
+#define GOSSIP_ROUNDS 3 /* in which each peer gets one datagram */
+#define ALIVE_MS 1000
+#define WATCH_WAIT_MS 2000
 #define FOLLOW_WAIT_MS 900
-#define FOLLOW_ONCE_MS 200
+#define FOLLOW_RETRY_MS 200
 
-/* One list, one question who else started; every other entry asks once more. */
-#define CALLS_EACH 2.5
+/* A list, a watch for the other entries, and one more call of every second. */
+#define MAX_CALLS_PER_ENTRY 2.5
 
-enum asking {
-	NOBODY,
+enum pending_call {
+	NO_CALL,
 	STORE_LIST,
 	STORE_WATCH,
-	ENTRY
+	FOLLOW
 };
 
 struct entry {
@@ -40,41 +40,41 @@
 	struct feed feed;
 	char name[16];
 	int64_t start_ms, registered_rev; /* 0: not registered */
-	bool known[MOST];
-	size_t others;
-	int64_t heard_ms[MOST]; /* 0: never */
-	enum asking asking;
+	bool known[MAX_ENTRIES];
+	size_t known_entries;
+	int64_t received_ms[MAX_ENTRIES]; /* 0: never */
+	enum pending_call pending_call;
 	int leader;
-	int64_t asked_ms, follow_after_ms;
-	bool asked, following;
+	int64_t call_start_ms, follow_after_ms;
+	bool has_watched, following;
 	unsigned lists, watches;
 };
 
 struct world {
-	struct entry e[MOST];
+	struct entry e[MAX_ENTRIES];
 	int n;
 	int64_t revision;
-	bool no_meeting; /* the twin: watches at once */
+	bool watch_at_once; /* without waiting for registrations */
 	struct rank rank;
 };
 
 static struct world w;
-static int self; /* whose mirror is told */
+static int current; /* index of the entry whose mirror gets answers */
 
 static void on_put(void *arg, const char *key, const char *value, size_t len,
 		   int64_t revision)
 {
-	struct entry *e = &w.e[self];
+	struct entry *e = &w.e[current];
 	const int i = atoi(key);
 
 	(void)arg;
 	(void)value;
 	(void)len;
 	(void)revision;
-	if (i == self || e->known[i])
+	if (i == current || e->known[i])
 		return;
 	e->known[i] = true;
-	e->others++;
+	e->known_entries++;
 }
 
 static void on_gone(void *arg, const char *key, int64_t revision)
@@ -86,13 +86,16 @@
 
 static const struct mir_vtable keys = { on_put, on_gone };
 
-/* Tells entry `i` the registrations after a revision; returns how many. */
-static int tell_registrations(int i, int64_t after, bool watched)
+/*
+ * Delivers the registrations after a revision to entry `i`; returns their
+ * number.
+ */
+static int deliver_registrations(int i, int64_t after, bool watched)
 {
 	char key[16];
 	int k, n = 0;
 
-	self = i;
+	current = i;
 	for (k = 0; k < w.n; k++) {
 		if (w.e[k].registered_rev <= after)
 			continue;
@@ -108,7 +111,7 @@
 	return n;
 }
 
-/* ---- Who follows whom ---- */
+/* ---- Choice of the watcher to follow ---- */
 
 static void rank_alive(int i, int64_t now)
 {
@@ -118,12 +121,12 @@
 	rank_init(&w.rank, RANK_WATCH);
 	rank_add(&w.rank, e->name, "z", &w.e[i]);
 	for (k = 0; k < w.n; k++) {
-		if (e->heard_ms[k] && now - e->heard_ms[k] < SILENT_MS)
+		if (e->received_ms[k] && now - e->received_ms[k] < ALIVE_MS)
 			rank_add(&w.rank, w.e[k].name, "z", &w.e[k]);
 	}
 }
 
-/* The entry to follow; -1: it watches the store itself. */
+/* The index of the entry to follow; -1: `i` watches the store itself. */
 static int leader_of(int i, int64_t now)
 {
 	const struct entry *leader;
@@ -149,28 +152,29 @@
 	struct entry *e = &w.e[i];
 	const struct feed_start s = { .since_ms = now - e->start_ms,
 				      .first = true,
-				      .others = e->others,
+				      .others = e->known_entries,
 				      .entries = true,
-				      .asked = e->asked };
+				      .asked = e->has_watched };
 	enum mir_call call;
 
-	if (e->mir.state == MIR_WATCH && !w.no_meeting && !feed_may_watch(&s))
+	if (e->mir.state == MIR_WATCH && !w.watch_at_once &&
+	    !feed_may_watch(&s))
 		return;
 	call = mir_next(&e->mir, now);
 	if (call == MIR_NONE)
 		return;
-	e->asked_ms = now;
+	e->call_start_ms = now;
 	if (call == MIR_LIST) {
-		e->asking = STORE_LIST;
+		e->pending_call = STORE_LIST;
 		e->lists++;
 		return;
 	}
 	e->leader = now < e->follow_after_ms ? -1 : leader_of(i, now);
 	e->following = e->leader >= 0;
-	e->asking = e->following ? ENTRY : STORE_WATCH;
+	e->pending_call = e->following ? FOLLOW : STORE_WATCH;
 	if (e->following)
 		return;
-	e->asked = true;
+	e->has_watched = true;
 	e->watches++;
 }
 
@@ -178,30 +182,30 @@
 {
 	struct entry *e = &w.e[i];
 
-	tell_registrations(i, 0, false);
+	deliver_registrations(i, 0, false);
 	mir_page(&e->mir, NULL, false, w.revision, now);
 	if (!e->registered_rev)
 		e->registered_rev = ++w.revision;
-	e->asking = NOBODY;
+	e->pending_call = NO_CALL;
 }
 
 static void end_watch(int i, int64_t now)
 {
 	struct entry *e = &w.e[i];
 	const int64_t from = e->mir.revision;
-	const bool any = tell_registrations(i, from, true) > 0;
+	const bool any = deliver_registrations(i, from, true) > 0;
 
 	feed_add(&e->feed, from, w.revision, any, "c", 1);
 	mir_watched(&e->mir, any, w.revision, now);
-	e->asking = NOBODY;
+	e->pending_call = NO_CALL;
 }
 
 static void fail_follow(struct entry *e, int64_t now)
 {
-	e->follow_after_ms = now + FOLLOW_ONCE_MS;
+	e->follow_after_ms = now + FOLLOW_RETRY_MS;
 	mir_failed(&e->mir, now);
 	e->mir.due_ms = now;
-	e->asking = NOBODY;
+	e->pending_call = NO_CALL;
 }
 
 static void end_follow(int i, int64_t now)
@@ -218,40 +222,44 @@
 		fail_follow(e, now);
 		return;
 	}
-	if (answer == FEED_WAIT && now - e->asked_ms < FOLLOW_WAIT_MS)
+	if (answer == FEED_WAIT && now - e->call_start_ms < FOLLOW_WAIT_MS)
 		return;
 	if (part)
-		tell_registrations(i, from, true);
+		deliver_registrations(i, from, true);
 	feed_add(&e->feed, from, part ? part->to : from, part != NULL, "c", 1);
 	mir_watched(&e->mir, false, part ? part->to : from, now);
-	e->asking = NOBODY;
+	e->pending_call = NO_CALL;
 }
 
 static void end_call(int i, int64_t now)
 {
 	const struct entry *e = &w.e[i];
-	const bool waited = now - e->asked_ms >= OWN_WAIT_MS;
+	const bool waited = now - e->call_start_ms >= WATCH_WAIT_MS;
 
-	if (e->asking == ENTRY)
+	if (e->pending_call == FOLLOW)
 		end_follow(i, now);
-	else if (now - e->asked_ms < ANSWER_MS)
+	else if (now - e->call_start_ms < STORE_LATENCY_MS)
 		return;
-	else if (e->asking == STORE_LIST)
+	else if (e->pending_call == STORE_LIST)
 		end_list(i, now);
 	else if (w.revision > e->mir.revision || waited)
 		end_watch(i, now);
 }
 
-/* A third of the known entries; who does not know the sender passes it over. */
-static void tell(int i, int64_t now)
+/*
+ * Sends datagrams to a third of the known entries. A receiver that does not
+ * know the sender drops them.
+ */
+static void send_gossip(int i, int64_t now)
 {
-	const int64_t round = now / ROUND_MS;
+	const int64_t round = now / GOSSIP_ROUND_MS;
 	int k;
 
 	for (k = 0; k < w.n; k++) {
-		if (w.e[i].known[k] && k % ROUNDS == round % ROUNDS &&
+		if (w.e[i].known[k] &&
+		    k % GOSSIP_ROUNDS == round % GOSSIP_ROUNDS &&
 		    w.e[k].known[i])
-			w.e[k].heard_ms[i] = now;
+			w.e[k].received_ms[i] = now;
 	}
 }
 
@@ -264,18 +272,19 @@
 
 		if (now < e->start_ms)
 			continue;
-		if (e->asking != NOBODY)
+		if (e->pending_call != NO_CALL)
 			end_call(i, now);
-		if (e->asking == NOBODY && (now - e->start_ms) % TICK_MS == 0)
+		if (e->pending_call == NO_CALL &&
+		    (now - e->start_ms) % TICK_MS == 0)
 			begin_call(i, now);
-		if ((now - e->start_ms) % ROUND_MS == 0)
-			tell(i, now);
+		if ((now - e->start_ms) % GOSSIP_ROUND_MS == 0)
+			send_gossip(i, now);
 	}
 }
 
-/* ---- Plays ---- */
+/* ---- Simulations ---- */
 
-static void open_world(int n, uint64_t seed, bool no_meeting)
+static void world_open(int n, uint64_t seed, bool watch_at_once)
 {
 	struct rnd rnd;
 	int i;
@@ -283,7 +292,7 @@
 	memset(&w, 0, sizeof(w));
 	w.n = n;
 	w.revision = 10;
-	w.no_meeting = no_meeting;
+	w.watch_at_once = watch_at_once;
 	rnd_seed(&rnd, seed);
 	for (i = 0; i < n; i++) {
 		w.e[i].start_ms =
@@ -294,7 +303,7 @@
 	}
 }
 
-static void close_world(void)
+static void world_close(void)
 {
 	int i;
 
@@ -305,63 +314,64 @@
 }
 
 struct outcome {
-	double calls_each; /* lists and watches of an entry, in the mean */
-	size_t strangers;  /* entries that do not know all others */
+	double calls_per_entry; /* lists and watches, on average */
+	size_t incomplete;	/* entries that do not know all other ones */
 };
 
-static struct outcome play(int n, uint64_t seed, bool no_meeting)
+static struct outcome simulate(int n, uint64_t seed, bool watch_at_once)
 {
 	struct outcome o = { 0 };
 	int64_t now;
 	int i;
 
-	open_world(n, seed, no_meeting);
-	for (now = 1; now <= PLAYED_MS; now++)
+	world_open(n, seed, watch_at_once);
+	for (now = 1; now <= SIMULATED_MS; now++)
 		step(now);
 	for (i = 0; i < n; i++) {
-		o.calls_each += w.e[i].lists + w.e[i].watches;
-		o.strangers += w.e[i].others < (size_t)n - 1;
+		o.calls_per_entry += w.e[i].lists + w.e[i].watches;
+		o.incomplete += w.e[i].known_entries < (size_t)n - 1;
 	}
-	o.calls_each /= n;
-	close_world();
+	o.calls_per_entry /= n;
+	world_close();
 	return o;
 }
 
 /*
- * Symptom: 295 entries that started together asked the store 16 times each.
- * Sequence: they register within a third of a second, and each watches who
- * else does until it has heard of the others. Cause: an entry that has heard
- * of nobody counts itself among the few that watch for all.
+ * Guards against 16 calls to the store by each of 295 entries that start
+ * together. They register within a third of a second; an entry that has not yet
+ * received a datagram ranks itself among the few watchers, and its watch
+ * returns for every few registrations.
  */
-static void calls_of_an_entry_do_not_grow_with_the_fleet(void)
+static void calls_per_entry_do_not_grow_with_the_fleet(void)
 {
 	const unsigned long seeds = unit_seeds(2);
 	unsigned long seed;
 
 	for (seed = 1; seed <= seeds; seed++) {
-		const struct outcome few = play(30, seed, false);
-		const struct outcome many = play(300, seed, false);
-
-		CU_ASSERT(few.calls_each <= CALLS_EACH);
-		CU_ASSERT(many.calls_each <= CALLS_EACH);
-		CU_ASSERT(many.calls_each <= few.calls_each + 0.5);
-		CU_ASSERT_EQUAL(few.strangers, 0);
-		CU_ASSERT_EQUAL(many.strangers, 0);
+		const struct outcome small = simulate(30, seed, false);
+		const struct outcome large = simulate(300, seed, false);
+
+		CU_ASSERT(small.calls_per_entry <= MAX_CALLS_PER_ENTRY);
+		CU_ASSERT(large.calls_per_entry <= MAX_CALLS_PER_ENTRY);
+		CU_ASSERT(large.calls_per_entry <= small.calls_per_entry + 0.5);
+		CU_ASSERT_EQUAL(small.incomplete, 0);
+		CU_ASSERT_EQUAL(large.incomplete, 0);
 	}
 }
 
-static void twin_that_does_not_meet_first_is_caught(void)
+/* Without the wait for registrations the limit on calls must be exceeded. */
+static void watching_at_once_exceeds_the_limit(void)
 {
-	const struct outcome many = play(300, 1, true);
+	const struct outcome large = simulate(300, 1, true);
 
-	CU_ASSERT(many.calls_each > CALLS_EACH);
+	CU_ASSERT(large.calls_per_entry > MAX_CALLS_PER_ENTRY);
 }
 
 static const struct unit_test tests[] = {
-	{ "calls of an entry do not grow with the fleet",
-	  calls_of_an_entry_do_not_grow_with_the_fleet },
-	{ "the twin that does not meet first is caught",
-	  twin_that_does_not_meet_first_is_caught },
+	{ "calls per entry do not grow with the fleet",
+	  calls_per_entry_do_not_grow_with_the_fleet },
+	{ "watching at once exceeds the limit",
+	  watching_at_once_exceeds_the_limit },
 };
 
 UNIT_MAIN("start", tests)
