--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -33,9 +33,9 @@
 		[STO_LIST] = "store_lists_total",
 		[STO_WATCH] = "store_watches_total",
 		[STO_WRITE] = "store_writes_total",
-		[STO_LEASE] = "store_leases_total",
-		[STO_KEEP] = "store_renewals_total",
-		[STO_END] = "store_lease_ends_total",
+		[STO_LEASE_GRANT] = "store_leases_total",
+		[STO_LEASE_RENEW] = "store_renewals_total",
+		[STO_LEASE_END] = "store_lease_ends_total",
 	};
 	int i;
 
--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -197,7 +197,7 @@
 	enum vfy_call call;
 
 	/* Whether the store came back just now stands among our own keys. */
-	if (!en->force.cfg && !en->watches[EDGE_OWN].mirror.whole)
+	if (!en->force.cfg && !en->watches[EDGE_OWN].mirror.complete)
 		return;
 	call = vfy_next(&en->vfy, &s, now, &c.wait_ms);
 	if (call == VFY_NONE)
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -61,7 +61,7 @@
 
 void edge_era_open(struct edge *en)
 {
-	sto_set_returned(en->store, on_returned, en);
+	sto_set_on_restore(en->store, on_returned, en);
 }
 
 bool edge_era_settled(const struct edge *en, int64_t now)
@@ -87,7 +87,7 @@
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_ERA_KEY, en->era.record };
 	c.rows[0] = (struct sto_row){ EDGE_ERA_KEY, value, strlen(value), 0 };
-	sto_call(en->store, &c, sto_no_matter, NULL);
+	sto_call(en->store, &c, sto_ignore_answer, NULL);
 }
 
 void edge_era_recorded(struct edge *en, const char *value, size_t len,
@@ -129,7 +129,7 @@
 {
 	const struct edge_watch *own = &en->watches[EDGE_OWN];
 
-	if (!own->mirror.whole || !sto_era(en->store))
+	if (!own->mirror.complete || !sto_era(en->store))
 		return;
 	if (!en->era.known)
 		learn_first(en, now);
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -342,7 +342,7 @@
 		(long long)truth_now(&en->truth, now));
 	c.conditions[0] = (struct sto_condition){ key, 0 };
 	c.rows[0] = (struct sto_row){ key, value.data, value.len, 0 };
-	sto_call(en->store, &c, sto_no_matter, NULL);
+	sto_call(en->store, &c, sto_ignore_answer, NULL);
 }
 
 static void delete_record(struct edge *en, const struct fatal_row *row)
@@ -352,7 +352,7 @@
 
 	record_key(row, key, sizeof(key));
 	c.rows[0] = (struct sto_row){ .key = key };
-	sto_call(en->store, &c, sto_no_matter, NULL);
+	sto_call(en->store, &c, sto_ignore_answer, NULL);
 }
 
 static bool to_be_written(const struct edge *en, const struct fatal_row *row,
--- a/lib/edge/edge_inner.c
+++ b/lib/edge/edge_inner.c
@@ -113,8 +113,8 @@
 /* Answers the follower if there is something to say, or its time is over. */
 static void try_follower(struct edge_follower *f, int64_t now)
 {
-	const int64_t upto = f->watch->feed.upto;
-	const struct feed_part *part;
+	const int64_t upto = f->watch->feed.known_to;
+	const struct feed_batch *part;
 	char nothing[64];
 
 	if (!edge_watch_leads(f->watch, now)) {
@@ -135,10 +135,10 @@
 		/* What it lacks is not here: it asks the store once. */
 		answer_follower(f, 404, "", 0);
 		return;
-	case FEED_PART:
+	case FEED_CHANGES:
 		answer_follower(f, 200, part->body.data, part->body.len);
 		return;
-	case FEED_WAIT:
+	case FEED_UNCHANGED:
 		break;
 	}
 	if (now < f->until_ms)
@@ -228,7 +228,7 @@
 
 	if (!strcmp(url, "/metrics"))
 		serve_metrics(en, c);
-	else if (sto_is_follow(url, &lane, &after, &wait_ms))
+	else if (sto_parse_follow(url, &lane, &after, &wait_ms))
 		add_follower(en, c, lane, after, wait_ms);
 	else
 		relay(en, c);
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -125,21 +125,22 @@
 		write_registration(en);
 		return;
 	}
-	c.kind = en->lease.id ? STO_KEEP : STO_LEASE;
+	c.kind = en->lease.id ? STO_LEASE_RENEW : STO_LEASE_GRANT;
 	en->lease.calling = true;
 	sto_call(en->store, &c, en->lease.id ? on_kept : on_leased, en);
 }
 
 void edge_lease_resign(struct edge *en)
 {
-	const struct sto_call c = { .kind = STO_END, .lease = en->lease.id };
+	const struct sto_call c = { .kind = STO_LEASE_END,
+				    .lease = en->lease.id };
 
 	lead_lost(&en->lead, edge_now(en));
 	if (!en->lease.id)
 		return;
 	en->lease.id = 0;
 	en->lease.until_ms = 0;
-	sto_call(en->store, &c, sto_no_matter, NULL);
+	sto_call(en->store, &c, sto_ignore_answer, NULL);
 }
 
 /* ---- Taking the duties ---- */
@@ -166,7 +167,7 @@
 			      .nr_rows = 1 };
 
 	if (!en->conf->cloud.address[0] || !en->lease.registered ||
-	    en->stopping || !en->watches[EDGE_OWN].mirror.whole)
+	    en->stopping || !en->watches[EDGE_OWN].mirror.complete)
 		return;
 	if ((en->lead.taken && !en->lead.former) ||
 	    !lead_try(&en->lead, edge_watch_place(en, now), en->lease.until_ms,
--- a/lib/edge/edge_look.c
+++ b/lib/edge/edge_look.c
@@ -14,7 +14,7 @@
 	const int64_t now = clk_boot_ms(en->clk);
 
 	if (en->stopping || !en->force.cfg ||
-	    !en->watches[EDGE_ENDPOINTS].mirror.whole)
+	    !en->watches[EDGE_ENDPOINTS].mirror.complete)
 		return false;
 	return !en->conf->bounds.strict_revoke ||
 	       force_age(&en->force, now) < (int64_t)en->conf->bounds.revoke_ms;
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -18,7 +18,7 @@
 /* How many of those that are ranked watch the store. */
 static size_t watchers(const struct edge *en)
 {
-	const size_t n = feed_watchers((unsigned)en->ranking.n);
+	const size_t n = feed_watcher_count((unsigned)en->ranking.n);
 
 	return n < en->ranking.n ? n : en->ranking.n;
 }
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -90,8 +90,9 @@
 {
 	if (!e->info.version[0])
 		return;
-	if (ro->established[0] && (en->watches[EDGE_ENDPOINTS].mirror.whole ||
-				   e->info.born_ms >= ro->established_born_ms))
+	if (ro->established[0] &&
+	    (en->watches[EDGE_ENDPOINTS].mirror.complete ||
+	     e->info.born_ms >= ro->established_born_ms))
 		return;
 	str_copy(ro->established, e->info.version, sizeof(ro->established));
 	ro->established_born_ms = e->info.born_ms;
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -133,7 +133,7 @@
 	c.rows[0] =
 		(struct sto_row){ buf_cstr(&key), value.data, value.len, 0 };
 	ro->next_write_ms = now + WRITE_RETRY_MS;
-	sto_call(en->store, &c, sto_no_matter, NULL);
+	sto_call(en->store, &c, sto_ignore_answer, NULL);
 }
 
 /* ---- Decisions ---- */
@@ -143,7 +143,7 @@
 {
 	const struct edge_watch *w = &en->watches[EDGE_ROLLOUTS];
 
-	return w->mirror.whole && !w->returning &&
+	return w->mirror.complete && !w->returning &&
 	       w->complete_ms >= en->lead.since_ms;
 }
 
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -172,7 +172,7 @@
 /* When endpoints' entries that the store lost began to be written again. */
 static int64_t store_back_ms(const struct edge *en)
 {
-	const int64_t back = sto_back_ms(en->store);
+	const int64_t back = sto_recovered_ms(en->store);
 
 	return back > en->era.seen_ms ? back : en->era.seen_ms;
 }
@@ -283,7 +283,7 @@
 {
 	en->store = sto_create(en->loop, en->clk, en->wire->store, addr,
 			       on_store, en);
-	sto_set_detour(en->store, detour, en);
+	sto_set_relay(en->store, detour, en);
 	sto_set_trace(en->store, on_traced, en);
 	edge_era_open(en);
 	edge_watch_open(en);
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -68,7 +68,7 @@
 	if (w->era == era)
 		return false;
 	w->era = era;
-	w->returning = w->mirror.whole;
+	w->returning = w->mirror.complete;
 	feed_clear(&w->feed);
 	mir_history_lost(&w->mirror, now);
 	return true;
@@ -85,7 +85,7 @@
 		return;
 	}
 	/* The first page of all shows the era. */
-	if (!w->mirror.whole && !w->mirror.first_page_rev)
+	if (!w->mirror.complete && !w->mirror.first_page_rev)
 		w->era = a->era;
 	if (returned(w, now))
 		return;
@@ -94,8 +94,9 @@
 			mir_item(&w->mirror, a->items[i].key, a->items[i].value,
 				 a->items[i].len, a->items[i].revision);
 	}
-	mir_page(&w->mirror, a->nr_items ? a->items[a->nr_items - 1].key : NULL,
-		 a->more, a->revision, now);
+	mir_page_end(&w->mirror,
+		     a->nr_items ? a->items[a->nr_items - 1].key : NULL,
+		     a->more, a->revision, now);
 	if (a->more)
 		return;
 	w->complete_ms = now;
@@ -150,7 +151,7 @@
 	pass_on(w, a);
 	w->direct = true;
 	apply_changes(w, a);
-	mir_watched(&w->mirror, a->nr_items > 0, a->revision, now);
+	mir_watch_end(&w->mirror, a->nr_items > 0, a->revision, now);
 	w->complete_ms = now;
 	edge_inner_feed(en, now);
 }
@@ -179,7 +180,7 @@
 		 a->raw, a->raw_len);
 	w->direct = false;
 	apply_changes(w, a);
-	mir_watched(&w->mirror, false, a->revision, now);
+	mir_watch_end(&w->mirror, false, a->revision, now);
 	w->complete_ms = now;
 }
 
@@ -205,9 +206,9 @@
 {
 	const struct edge *en = w->en;
 
-	return !en->stopping && w->mirror.whole && !w->returning &&
-	       now - sto_direct_good_ms(en->store) <= TRUST_WAY_MS &&
-	       feed_alive(w->complete_ms, w->wait_ms, now);
+	return !en->stopping && w->mirror.complete && !w->returning &&
+	       now - sto_direct_success_ms(en->store) <= TRUST_WAY_MS &&
+	       feed_is_current(w->complete_ms, w->wait_ms, now);
 }
 
 /* ---- Life ---- */
@@ -248,12 +249,12 @@
 static bool may_watch(const struct edge_watch *w, int64_t now)
 {
 	const struct edge *en = w->en;
-	const struct feed_start s = {
+	const struct feed_startup s = {
 		.since_ms = now - en->start_ms,
-		.first = en->conf->first_start,
-		.others = en->prs.count,
-		.entries = w == &en->watches[EDGE_OWN],
-		.asked = w->asked,
+		.first_start = en->conf->first_start,
+		.known_entries = en->prs.count,
+		.entry_keys = w == &en->watches[EDGE_OWN],
+		.has_watched = w->asked,
 	};
 
 	return feed_may_watch(&s);
@@ -264,7 +265,7 @@
 	struct sto_call c = { .key = w->prefix };
 
 	/* Another call showed it; one of ours that is under way ends first. */
-	if (!w->mirror.calling && w->mirror.whole && !w->returning)
+	if (!w->mirror.call_pending && w->mirror.complete && !w->returning)
 		returned(w, now);
 	if (w->mirror.state == MIR_WATCH && !may_watch(w, now))
 		return;
--- a/lib/store/feed.c
+++ b/lib/store/feed.c
@@ -14,8 +14,8 @@
 {
 	unsigned i;
 
-	for (i = 0; i < FEED_KEPT; i++)
-		buf_free(&f->parts[i].body);
+	for (i = 0; i < FEED_MAX_BATCHES; i++)
+		buf_free(&f->batches[i].body);
 	memset(f, 0, sizeof(*f));
 }
 
@@ -27,41 +27,41 @@
 void feed_add(struct feed *f, int64_t from, int64_t to, bool any,
 	      const char *body, size_t len)
 {
-	struct feed_part *p;
+	struct feed_batch *p;
 
 	/* What came before does not reach up to this watch. */
-	if (from != f->upto) {
+	if (from != f->known_to) {
 		feed_clear(f);
-		f->quiet = from;
+		f->unchanged_after = from;
 	}
-	f->upto = to;
+	f->known_to = to;
 	if (!any)
 		return;
 	if (len > FEED_MAX_BYTES) {
 		/* Nobody who is behind it gets anything here. */
 		feed_clear(f);
-		f->upto = f->quiet = to;
+		f->known_to = f->unchanged_after = to;
 		return;
 	}
-	p = &f->parts[f->next];
-	f->next = (f->next + 1) % FEED_KEPT;
+	p = &f->batches[f->next];
+	f->next = (f->next + 1) % FEED_MAX_BATCHES;
 	buf_free(&p->body);
-	p->from = f->quiet;
+	p->from = f->unchanged_after;
 	p->to = to;
-	f->quiet = to;
+	f->unchanged_after = to;
 	buf_add(&p->body, body, len);
 }
 
 enum feed_answer feed_after(const struct feed *f, int64_t revision,
-			    const struct feed_part **part)
+			    const struct feed_batch **part)
 {
-	const struct feed_part *best = NULL;
+	const struct feed_batch *best = NULL;
 	unsigned i;
 
-	if (!f->upto)
+	if (!f->known_to)
 		return FEED_GAP;
-	for (i = 0; i < FEED_KEPT; i++) {
-		const struct feed_part *p = &f->parts[i];
+	for (i = 0; i < FEED_MAX_BATCHES; i++) {
+		const struct feed_batch *p = &f->batches[i];
 
 		if (!p->to || p->to <= revision || p->from > revision)
 			continue;
@@ -71,25 +71,25 @@
 	}
 	*part = best;
 	if (best)
-		return FEED_PART;
-	return revision >= f->quiet ? FEED_WAIT : FEED_GAP;
+		return FEED_CHANGES;
+	return revision >= f->unchanged_after ? FEED_UNCHANGED : FEED_GAP;
 }
 
-bool feed_alive(int64_t answered_ms, int wait_ms, int64_t now)
+bool feed_is_current(int64_t answered_ms, int wait_ms, int64_t now)
 {
-	return answered_ms && now - answered_ms <= wait_ms + FEED_ALIVE_MS;
+	return answered_ms && now - answered_ms <= wait_ms + FEED_STALE_MS;
 }
 
-bool feed_may_watch(const struct feed_start *s)
+bool feed_may_watch(const struct feed_startup *s)
 {
-	if (!s->first && !s->others)
+	if (!s->first_start && !s->known_entries)
 		return true;
-	if (s->entries && !s->asked)
-		return s->since_ms >= FEED_MEET_MS;
+	if (s->entry_keys && !s->has_watched)
+		return s->since_ms >= FEED_REGISTER_MS;
 	return s->since_ms >= FEED_SETTLE_MS;
 }
 
-unsigned feed_watchers(unsigned n)
+unsigned feed_watcher_count(unsigned n)
 {
 	const unsigned k = (n + ENTRIES_EACH - 1) / ENTRIES_EACH;
 
--- a/lib/store/feed.h
+++ b/lib/store/feed.h
@@ -20,7 +20,7 @@
 #include "base/buf.h"
 
 /* Returns that are kept: an asker is at most a few of them behind. */
-#define FEED_KEPT 32
+#define FEED_MAX_BATCHES 32
 
 /*
  * Changes of more bytes, packed, are not passed on: the asker reads them from
@@ -29,21 +29,21 @@
  */
 #define FEED_MAX_BYTES 16384
 
-struct feed_part {
+struct feed_batch {
 	int64_t from, to; /* changes after `from`, up to `to` */
 	struct buf body;
 };
 
 struct feed {
-	struct feed_part parts[FEED_KEPT];
+	struct feed_batch batches[FEED_MAX_BATCHES];
 	unsigned next;
 	/*
 	 * No watched key changed after `quiet` up to `upto`. The store's
 	 * revision rises with keys that are not watched, too: between the end
 	 * of one part and the beginning of the next there is no gap.
 	 */
-	int64_t quiet;
-	int64_t upto; /* the last revision that is known; 0: none */
+	int64_t unchanged_after;
+	int64_t known_to; /* the last revision that is known; 0: none */
 };
 
 void feed_init(struct feed *f);
@@ -57,13 +57,13 @@
 void feed_clear(struct feed *f);
 
 enum feed_answer {
-	FEED_PART, /* *part has changes after that revision */
-	FEED_WAIT, /* nothing since, up to feed.upto */
-	FEED_GAP,  /* not known here: ask the store */
+	FEED_CHANGES,	/* *part has changes after that revision */
+	FEED_UNCHANGED, /* nothing since, up to feed.upto */
+	FEED_GAP,	/* not known here: ask the store */
 };
 
 enum feed_answer feed_after(const struct feed *f, int64_t revision,
-			    const struct feed_part **part);
+			    const struct feed_batch **part);
 
 /*
  * A feed is relied on only while its watch answered this lately, beyond its
@@ -71,13 +71,13 @@
  * followers would be told that nothing has changed. A watch pauses 0.4 s
  * between answers (MIR_PACE_MS).
  */
-#define FEED_ALIVE_MS 700
+#define FEED_STALE_MS 700
 
 /*
  * True if a watch that waits `wait_ms`, and last answered at `answered_ms`
  * (0: never), is not held up.
  */
-bool feed_alive(int64_t answered_ms, int wait_ms, int64_t now_ms);
+bool feed_is_current(int64_t answered_ms, int wait_ms, int64_t now_ms);
 
 /*
  * An entry that has just started has read all keys. Who else started with it
@@ -89,27 +89,27 @@
  * and had an answer for every few registrations, 295 entries that started
  * together made 16 calls each; so they make 8, however many they are.
  */
-#define FEED_MEET_MS 700
+#define FEED_REGISTER_MS 700
 #define FEED_SETTLE_MS 2000
 
-struct feed_start {
-	int64_t since_ms; /* since this entry started */
-	bool first;	  /* it is the very first start of all */
-	size_t others;	  /* entries that it knows */
-	bool entries;	  /* the keys are those that tell of entries */
-	bool asked;	  /* they were watched since the start */
+struct feed_startup {
+	int64_t since_ms;     /* since this entry started */
+	bool first_start;     /* it is the very first start of all */
+	size_t known_entries; /* entries that it knows */
+	bool entry_keys;      /* the keys are those that tell of entries */
+	bool has_watched;     /* they were watched since the start */
 };
 
 /*
  * True if the keys may be watched now. An entry that knows no other one, and
  * not at the very first start, may be the only one: it does not wait.
  */
-bool feed_may_watch(const struct feed_start *s);
+bool feed_may_watch(const struct feed_startup *s);
 
 /*
  * Which entries watch the store: of `n` entries these many, two at least, so
  * that one can go without the others noticing.
  */
-unsigned feed_watchers(unsigned n);
+unsigned feed_watcher_count(unsigned n);
 
 #endif
--- a/lib/store/mir.c
+++ b/lib/store/mir.c
@@ -21,7 +21,7 @@
 	m->vt = vt;
 	m->arg = arg;
 	m->state = MIR_LIST;
-	m->reading = 1;
+	m->listing = 1;
 }
 
 static void forget(struct mir *m, struct mir_item *it)
@@ -43,9 +43,9 @@
 
 enum mir_call mir_next(struct mir *m, int64_t now)
 {
-	if (m->calling || now < m->due_ms)
+	if (m->call_pending || now < m->due_ms)
 		return MIR_NONE;
-	m->calling = true;
+	m->call_pending = true;
 	return m->state;
 }
 
@@ -66,7 +66,7 @@
 	assert(it);
 	it->key = mem_dup(key);
 	it->revision = revision;
-	it->reading = m->reading;
+	it->reading = m->listing;
 	HASH_ADD_KEYPTR(hh, m->items, it->key, strlen(it->key), it);
 }
 
@@ -76,7 +76,7 @@
 	struct mir_item *it = find(m, key);
 
 	if (it) {
-		it->reading = m->reading;
+		it->reading = m->listing;
 		if (revision <= it->revision)
 			return false;
 		it->revision = revision;
@@ -100,23 +100,23 @@
 
 	HASH_ITER(hh, m->items, it, next)
 	{
-		if (it->reading == m->reading)
+		if (it->reading == m->listing)
 			continue;
-		m->vt->gone(m->arg, it->key, m->first_page_rev);
+		m->vt->deleted(m->arg, it->key, m->first_page_rev);
 		forget(m, it);
 	}
 }
 
 static void succeed(struct mir *m, enum mir_call next, int64_t due)
 {
-	m->calling = false;
+	m->call_pending = false;
 	m->retries = 0;
 	m->state = next;
 	m->due_ms = due;
 }
 
-void mir_page(struct mir *m, const char *last_key, bool more, int64_t revision,
-	      int64_t now)
+void mir_page_end(struct mir *m, const char *last_key, bool more,
+		  int64_t revision, int64_t now)
 {
 	if (!m->first_page_rev)
 		m->first_page_rev = revision;
@@ -127,7 +127,7 @@
 	}
 	sweep(m);
 	m->revision = m->first_page_rev;
-	m->whole = true;
+	m->complete = true;
 	succeed(m, MIR_WATCH, now);
 }
 
@@ -143,11 +143,11 @@
 	it = find(m, key);
 	if (!it || it->revision > revision)
 		return;
-	m->vt->gone(m->arg, key, revision);
+	m->vt->deleted(m->arg, key, revision);
 	forget(m, it);
 }
 
-void mir_watched(struct mir *m, bool any, int64_t revision, int64_t now)
+void mir_watch_end(struct mir *m, bool any, int64_t revision, int64_t now)
 {
 	if (revision > m->revision)
 		m->revision = revision;
@@ -159,8 +159,8 @@
 	m->state = MIR_LIST;
 	m->after[0] = '\0';
 	m->first_page_rev = 0;
-	m->reading++;
-	m->calling = false;
+	m->listing++;
+	m->call_pending = false;
 	m->due_ms = due;
 }
 
@@ -179,7 +179,7 @@
 	if (wait > MIR_RETRY_MAX_MS)
 		wait = MIR_RETRY_MAX_MS;
 	m->retries++;
-	m->calling = false;
+	m->call_pending = false;
 	m->due_ms = now + wait;
 	/* A reading that broke off begins anew: its first page has aged. */
 	if (m->state == MIR_LIST)
--- a/lib/store/mir.h
+++ b/lib/store/mir.h
@@ -38,7 +38,7 @@
 	void (*put)(void *arg, const char *key, const char *value, size_t len,
 		    int64_t revision);
 	/* A key is gone, at `revision` or before. */
-	void (*gone)(void *arg, const char *key, int64_t revision);
+	void (*deleted)(void *arg, const char *key, int64_t revision);
 };
 
 struct mir {
@@ -46,14 +46,14 @@
 	void *arg;
 	struct mir_item *items; /* uthash by key */
 	enum mir_call state;	/* the call to make next, or under way */
-	bool calling;
+	bool call_pending;
 	char after[256];
 	int64_t first_page_rev; /* 0: no page of this reading yet */
-	uint64_t reading;	/* number of this reading */
+	uint64_t listing;	/* number of this reading */
 	int64_t revision;	/* watched up to here */
 	int64_t due_ms;
 	int retries;
-	bool whole; /* at least one reading was completed */
+	bool complete; /* at least one reading was completed */
 };
 
 void mir_init(struct mir *m, const struct mir_vtable *vt, void *arg);
@@ -65,13 +65,13 @@
 /* One key of a page, then the end of the page. */
 void mir_item(struct mir *m, const char *key, const char *value, size_t len,
 	      int64_t revision);
-void mir_page(struct mir *m, const char *last_key, bool more, int64_t revision,
-	      int64_t now_ms);
+void mir_page_end(struct mir *m, const char *last_key, bool more,
+		  int64_t revision, int64_t now_ms);
 
 /* One event of a watch (value NULL: the key is gone), then its end. */
 void mir_event(struct mir *m, const char *key, const char *value, size_t len,
 	       int64_t revision);
-void mir_watched(struct mir *m, bool any, int64_t revision, int64_t now_ms);
+void mir_watch_end(struct mir *m, bool any, int64_t revision, int64_t now_ms);
 
 /* The history is gone: all is read anew, at once. */
 void mir_history_lost(struct mir *m, int64_t now_ms);
--- a/lib/store/sto.c
+++ b/lib/store/sto.c
@@ -68,13 +68,13 @@
 		bool set;
 	} lanes[STO_LANES];
 	char host[32];
-	sto_told told;
+	sto_on_reachability told;
 	void *told_arg;
-	sto_detour detour;
+	sto_choose_relay detour;
 	void *detour_arg;
-	sto_traced traced;
+	sto_on_trace traced;
 	void *traced_arg;
-	sto_returned returned;
+	sto_on_restore returned;
 	void *returned_arg;
 	int64_t era;
 	bool era_known; /* an answer came, whether it named an era or not */
@@ -135,7 +135,7 @@
 	a->nr_items = 0;
 }
 
-void sto_no_matter(void *arg, struct sto_answer *a)
+void sto_ignore_answer(void *arg, struct sto_answer *a)
 {
 	(void)arg;
 	(void)a;
@@ -152,7 +152,8 @@
 
 struct sto *sto_create(struct ev_loop *loop, const struct clk *clk,
 		       const struct sto_codec *codec,
-		       const struct sockaddr_in *addr, sto_told told, void *arg)
+		       const struct sockaddr_in *addr, sto_on_reachability told,
+		       void *arg)
 {
 	struct sto *s = calloc(1, sizeof(*s));
 
@@ -182,13 +183,13 @@
 	free(s);
 }
 
-void sto_set_detour(struct sto *s, sto_detour detour, void *arg)
+void sto_set_relay(struct sto *s, sto_choose_relay detour, void *arg)
 {
 	s->detour = detour;
 	s->detour_arg = arg;
 }
 
-void sto_set_trace(struct sto *s, sto_traced traced, void *arg)
+void sto_set_trace(struct sto *s, sto_on_trace traced, void *arg)
 {
 	s->traced = traced;
 	s->traced_arg = arg;
@@ -199,7 +200,7 @@
 	return s->direct_ok;
 }
 
-int64_t sto_back_ms(const struct sto *s)
+int64_t sto_recovered_ms(const struct sto *s)
 {
 	return s->back_ms;
 }
@@ -299,7 +300,7 @@
 
 /* ---- Eras ---- */
 
-void sto_set_returned(struct sto *s, sto_returned returned, void *arg)
+void sto_set_on_restore(struct sto *s, sto_on_restore returned, void *arg)
 {
 	s->returned = returned;
 	s->returned_arg = arg;
@@ -529,8 +530,8 @@
 
 #define FOLLOW_PATH "/feed"
 
-bool sto_is_follow(const char *url, unsigned *lane, int64_t *after,
-		   int *wait_ms)
+bool sto_parse_follow(const char *url, unsigned *lane, int64_t *after,
+		      int *wait_ms)
 {
 	char number[24];
 
@@ -550,7 +551,7 @@
 	return true;
 }
 
-int64_t sto_direct_good_ms(const struct sto *s)
+int64_t sto_direct_success_ms(const struct sto *s)
 {
 	return s->direct_good_ms;
 }
--- a/lib/store/sto.h
+++ b/lib/store/sto.h
@@ -25,15 +25,15 @@
 #define STO_MAX_ROWS 8
 
 enum sto_kind {
-	STO_GET,   /* one key */
-	STO_LIST,  /* a page of keys with a prefix */
-	STO_WATCH, /* changes after a revision */
-	STO_WRITE, /* writes and deletes under conditions */
-	STO_LEASE, /* a new lease */
-	STO_KEEP,  /* renew it */
-	STO_END,   /* end it; its keys go */
+	STO_GET,	 /* one key */
+	STO_LIST,	 /* a page of keys with a prefix */
+	STO_WATCH,	 /* changes after a revision */
+	STO_WRITE,	 /* writes and deletes under conditions */
+	STO_LEASE_GRANT, /* a new lease */
+	STO_LEASE_RENEW, /* renew it */
+	STO_LEASE_END,	 /* end it; its keys go */
 };
-#define STO_KINDS (STO_END + 1)
+#define STO_KINDS (STO_LEASE_END + 1)
 
 /* A row of a write. Strings belong to the caller until the call is sent. */
 struct sto_row {
@@ -70,7 +70,7 @@
 	STO_BUSY,	  /* refused for load or down: nothing was done */
 	STO_UNREACHABLE,  /* not sent */
 	STO_UNKNOWN,	  /* sent, no answer */
-	STO_BAD,	  /* an answer that makes no sense */
+	STO_MALFORMED,	  /* an answer that makes no sense */
 };
 
 /* The word for logs. */
@@ -116,7 +116,7 @@
 typedef void (*sto_done)(void *arg, struct sto_answer *a);
 
 /* For calls whose outcome a watch shows, or nothing depends on. */
-void sto_no_matter(void *arg, struct sto_answer *a);
+void sto_ignore_answer(void *arg, struct sto_answer *a);
 
 struct sto;
 
@@ -124,12 +124,12 @@
  * The store was lost or is back, for the log: the outcome that showed it, and
  * whether the call went straight or through another entry.
  */
-typedef void (*sto_told)(void *arg, bool reachable, const char *why,
-			 bool direct, int64_t took_ms);
+typedef void (*sto_on_reachability)(void *arg, bool reachable, const char *why,
+				    bool direct, int64_t took_ms);
 
 struct sto *sto_create(struct ev_loop *loop, const struct clk *clk,
 		       const struct sto_codec *codec,
-		       const struct sockaddr_in *addr, sto_told told,
+		       const struct sockaddr_in *addr, sto_on_reachability told,
 		       void *arg);
 void sto_free(struct sto *s);
 
@@ -150,18 +150,18 @@
 		void *arg);
 
 /* The path of that call, and reading what it asks. */
-bool sto_is_follow(const char *url, unsigned *lane, int64_t *after,
-		   int *wait_ms);
+bool sto_parse_follow(const char *url, unsigned *lane, int64_t *after,
+		      int *wait_ms);
 
 /* When the direct way last worked; 0: never. */
-int64_t sto_direct_good_ms(const struct sto *s);
+int64_t sto_direct_success_ms(const struct sto *s);
 
 /*
  * The entry through which to call while the direct way is bad; NULL: none
  * is known. Asked at each call.
  */
-typedef const struct sockaddr_in *(*sto_detour)(void *arg);
-void sto_set_detour(struct sto *s, sto_detour detour, void *arg);
+typedef const struct sockaddr_in *(*sto_choose_relay)(void *arg);
+void sto_set_relay(struct sto *s, sto_choose_relay detour, void *arg);
 
 /* True if the last call succeeded, by whatever way. */
 bool sto_reachable(const struct sto *s);
@@ -174,7 +174,7 @@
  * for longer than endpoints' entries need to lapse; 0: never. A store that
  * turns only this machine away is not away: calls through others succeed.
  */
-int64_t sto_back_ms(const struct sto *s);
+int64_t sto_recovered_ms(const struct sto *s);
 
 /* How a call ended, for the log. */
 struct sto_trace {
@@ -187,15 +187,15 @@
 	size_t bytes;	 /* of the body, as far as it came */
 };
 
-typedef void (*sto_traced)(void *arg, const struct sto_trace *t);
+typedef void (*sto_on_trace)(void *arg, const struct sto_trace *t);
 
 /*
  * The store came back from an older copy: `to` is its era now. Told before the
  * `done` of the call that showed it. Answers of an earlier era that come later
  * are STO_UNKNOWN, and conditions on a version of one do not hold.
  */
-typedef void (*sto_returned)(void *arg, int64_t from, int64_t to);
-void sto_set_returned(struct sto *s, sto_returned returned, void *arg);
+typedef void (*sto_on_restore)(void *arg, int64_t from, int64_t to);
+void sto_set_on_restore(struct sto *s, sto_on_restore returned, void *arg);
 
 /* The era as it is known; 0: no answer named one. */
 int64_t sto_era(const struct sto *s);
@@ -204,7 +204,7 @@
 void sto_learn_era(struct sto *s, int64_t era);
 
 /* Each call that ends is told, before its `done`. */
-void sto_set_trace(struct sto *s, sto_traced traced, void *arg);
+void sto_set_trace(struct sto *s, sto_on_trace traced, void *arg);
 
 /* The word for logs. */
 const char *sto_kind_name(enum sto_kind k);
--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -120,7 +120,7 @@
 		if (s->now.rev[k])
 			mir_item(m, key, "", 0, version_of(s, s->now.rev[k]));
 	}
-	mir_page(m, NULL, false, version_of(s, s->now.revision), now);
+	mir_page_end(m, NULL, false, version_of(s, s->now.revision), now);
 }
 
 static void answer_watch(struct mir *m, struct store *s, int64_t now)
@@ -142,7 +142,7 @@
 		mir_event(m, key, s->log[i].gone ? NULL : "", 0,
 			  version_of(s, s->log[i].rev));
 	}
-	mir_watched(m, any, version_of(s, s->now.revision), now);
+	mir_watch_end(m, any, version_of(s, s->now.revision), now);
 }
 
 /* A call of the mirror; what the store says was true when it answered. */
@@ -175,7 +175,7 @@
 		return;
 	}
 	/* The first answer shows the era. */
-	if (kind == MIR_LIST && !m->whole)
+	if (kind == MIR_LIST && !m->complete)
 		*era = said->era;
 	if (returned(m, said, era, now))
 		return;
@@ -193,7 +193,7 @@
 	if (c->kind != MIR_NONE && now >= c->due_ms)
 		end_call(c, m, era, now);
 	/* Other calls show the era, too; one that is under way ends first. */
-	if (c->kind == MIR_NONE && m->whole && !rnd_below(rnd, 20))
+	if (c->kind == MIR_NONE && m->complete && !rnd_below(rnd, 20))
 		returned(m, s, era, now);
 }
 
--- a/tests/test_mir.c
+++ b/tests/test_mir.c
@@ -85,7 +85,8 @@
 		mir_item(m, last, "v", 1, s->rev[k]);
 		n++;
 	}
-	mir_page(m, n ? last : NULL, n == PAGE && k < KEYS, s->revision, now);
+	mir_page_end(m, n ? last : NULL, n == PAGE && k < KEYS, s->revision,
+		     now);
 }
 
 static void answer_watch(struct mir *m, struct store *s, int64_t now)
@@ -106,7 +107,7 @@
 			  s->log[i].rev);
 		any = true;
 	}
-	mir_watched(m, any, s->revision, now);
+	mir_watch_end(m, any, s->revision, now);
 }
 
 static bool play(uint64_t seed)
@@ -172,10 +173,10 @@
 	mir_init(&m, &vtable, &v);
 	CU_ASSERT_EQUAL(mir_next(&m, 1), MIR_LIST);
 	mir_item(&m, "k00", "v", 1, 5);
-	mir_page(&m, "k00", true, 10, 1);
+	mir_page_end(&m, "k00", true, 10, 1);
 	CU_ASSERT_EQUAL(mir_next(&m, 2), MIR_LIST);
 	CU_ASSERT_STRING_EQUAL(m.after, "k00");
-	mir_page(&m, NULL, false, 11, 2);
+	mir_page_end(&m, NULL, false, 11, 2);
 	CU_ASSERT_EQUAL(mir_next(&m, 3), MIR_WATCH);
 	CU_ASSERT_EQUAL(m.revision, 10);
 	mir_event(&m, "k00", NULL, 0, 11);
@@ -206,7 +207,7 @@
 
 static void followers_get_all_changes_or_none(void)
 {
-	const struct feed_part *part;
+	const struct feed_batch *part;
 	struct feed f;
 	int64_t rev;
 	int i;
@@ -217,19 +218,19 @@
 	feed_add(&f, 12, 12, false, "", 0);
 	feed_add(&f, 12, 15, true, "b", 1);
 	CU_ASSERT_EQUAL(feed_after(&f, 9, &part), FEED_GAP);
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_PART);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_CHANGES);
 	CU_ASSERT_STRING_EQUAL(part->body.data, "a");
-	CU_ASSERT_EQUAL(feed_after(&f, 11, &part), FEED_PART);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_PART);
+	CU_ASSERT_EQUAL(feed_after(&f, 11, &part), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_CHANGES);
 	CU_ASSERT_STRING_EQUAL(part->body.data, "b");
-	CU_ASSERT_EQUAL(feed_after(&f, 15, &part), FEED_WAIT);
-	CU_ASSERT_EQUAL(feed_after(&f, 20, &part), FEED_WAIT);
+	CU_ASSERT_EQUAL(feed_after(&f, 15, &part), FEED_UNCHANGED);
+	CU_ASSERT_EQUAL(feed_after(&f, 20, &part), FEED_UNCHANGED);
 	/* The ring turns: what fell out is a gap, never skipped. */
-	for (i = 0; i < FEED_KEPT; i++)
+	for (i = 0; i < FEED_MAX_BATCHES; i++)
 		feed_add(&f, 15 + i, 16 + i, true, "c", 1);
 	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
-	for (rev = 15; rev < 15 + FEED_KEPT; rev++) {
-		CU_ASSERT_EQUAL(feed_after(&f, rev, &part), FEED_PART);
+	for (rev = 15; rev < 15 + FEED_MAX_BATCHES; rev++) {
+		CU_ASSERT_EQUAL(feed_after(&f, rev, &part), FEED_CHANGES);
 		CU_ASSERT(part->from <= rev && part->to == rev + 1);
 	}
 	feed_free(&f);
@@ -243,7 +244,7 @@
  */
 static void feed_that_stands_still_is_a_gap(void)
 {
-	const struct feed_part *part;
+	const struct feed_batch *part;
 	struct feed f;
 
 	feed_init(&f);
@@ -253,7 +254,7 @@
 	/* Fed again later: what lies between is not known here. */
 	feed_add(&f, 30, 31, true, "b", 1);
 	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
-	CU_ASSERT_EQUAL(feed_after(&f, 30, &part), FEED_PART);
+	CU_ASSERT_EQUAL(feed_after(&f, 30, &part), FEED_CHANGES);
 	feed_free(&f);
 }
 
@@ -267,21 +268,21 @@
  */
 static void other_keys_make_no_gap(void)
 {
-	const struct feed_part *part;
+	const struct feed_batch *part;
 	struct feed f;
 
 	feed_init(&f);
 	feed_add(&f, 10, 14, false, "", 0);
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_WAIT);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_UNCHANGED);
 	CU_ASSERT_EQUAL(feed_after(&f, 9, &part), FEED_GAP);
 	feed_add(&f, 14, 20, true, "a", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_PART);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_CHANGES);
 	feed_add(&f, 20, 30, false, "", 0);
 	feed_add(&f, 30, 33, true, "b", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 20, &part), FEED_PART);
+	CU_ASSERT_EQUAL(feed_after(&f, 20, &part), FEED_CHANGES);
 	CU_ASSERT_EQUAL(part->to, 33);
-	CU_ASSERT_EQUAL(feed_after(&f, 25, &part), FEED_PART);
-	CU_ASSERT_EQUAL(feed_after(&f, 33, &part), FEED_WAIT);
+	CU_ASSERT_EQUAL(feed_after(&f, 25, &part), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 33, &part), FEED_UNCHANGED);
 	CU_ASSERT_EQUAL(feed_after(&f, 9, &part), FEED_GAP);
 	feed_free(&f);
 }
@@ -294,7 +295,7 @@
 static void large_changes_are_not_passed_on(void)
 {
 	static char large[FEED_MAX_BYTES + 1];
-	const struct feed_part *part;
+	const struct feed_batch *part;
 	struct feed f;
 
 	memset(large, 'x', sizeof(large));
@@ -304,9 +305,9 @@
 	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_GAP);
 	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
 	/* Who has read it from the store follows again. */
-	CU_ASSERT_EQUAL(feed_after(&f, 14, &part), FEED_WAIT);
+	CU_ASSERT_EQUAL(feed_after(&f, 14, &part), FEED_UNCHANGED);
 	feed_add(&f, 14, 15, true, "b", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 14, &part), FEED_PART);
+	CU_ASSERT_EQUAL(feed_after(&f, 14, &part), FEED_CHANGES);
 	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
 	feed_free(&f);
 }
@@ -325,13 +326,13 @@
 	const int64_t tick_ms = 200, ask_ms = 50;
 	int64_t now = answered;
 
-	while (feed_alive(answered, wait_ms, now))
+	while (feed_is_current(answered, wait_ms, now))
 		now += tick_ms;
 	CU_ASSERT(now + ask_ms - answered < 2000);
 	/* In its usual pace it is relied on. */
-	CU_ASSERT(feed_alive(answered, wait_ms,
-			     answered + MIR_PACE_MS + wait_ms + 200));
-	CU_ASSERT_FALSE(feed_alive(0, wait_ms, 100));
+	CU_ASSERT(feed_is_current(answered, wait_ms,
+				  answered + MIR_PACE_MS + wait_ms + 200));
+	CU_ASSERT_FALSE(feed_is_current(0, wait_ms, 100));
 }
 
 /*
@@ -342,33 +343,33 @@
  */
 static void entries_that_start_together_meet_first(void)
 {
-	struct feed_start s = { .others = 294, .entries = true };
+	struct feed_startup s = { .known_entries = 294, .entry_keys = true };
 
-	s.since_ms = FEED_MEET_MS - 1;
+	s.since_ms = FEED_REGISTER_MS - 1;
 	CU_ASSERT_FALSE(feed_may_watch(&s));
-	s.since_ms = FEED_MEET_MS;
+	s.since_ms = FEED_REGISTER_MS;
 	CU_ASSERT(feed_may_watch(&s));
-	s.asked = true;
+	s.has_watched = true;
 	CU_ASSERT_FALSE(feed_may_watch(&s));
-	s.entries = s.asked = false;
+	s.entry_keys = s.has_watched = false;
 	CU_ASSERT_FALSE(feed_may_watch(&s));
 	s.since_ms = FEED_SETTLE_MS;
 	CU_ASSERT(feed_may_watch(&s));
-	s.asked = true;
+	s.has_watched = true;
 	CU_ASSERT(feed_may_watch(&s));
 	/* Alone, it has nobody to wait for; at the very first start it has. */
-	s = (struct feed_start){ .entries = true };
+	s = (struct feed_startup){ .entry_keys = true };
 	CU_ASSERT(feed_may_watch(&s));
-	s.first = true;
+	s.first_start = true;
 	CU_ASSERT_FALSE(feed_may_watch(&s));
 }
 
 static void watchers_are_few(void)
 {
-	CU_ASSERT_EQUAL(feed_watchers(1), 2);
-	CU_ASSERT_EQUAL(feed_watchers(8), 2);
-	CU_ASSERT_EQUAL(feed_watchers(84), 3);
-	CU_ASSERT_EQUAL(feed_watchers(900), 29);
+	CU_ASSERT_EQUAL(feed_watcher_count(1), 2);
+	CU_ASSERT_EQUAL(feed_watcher_count(8), 2);
+	CU_ASSERT_EQUAL(feed_watcher_count(84), 3);
+	CU_ASSERT_EQUAL(feed_watcher_count(900), 29);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -421,7 +421,7 @@
 	sto_answer_free(&a);
 	memset(&a, 0, sizeof(a));
 	c->decode(STO_LIST, 200, torn, strlen(torn), &a);
-	CU_ASSERT_EQUAL(a.outcome, STO_BAD);
+	CU_ASSERT_EQUAL(a.outcome, STO_MALFORMED);
 	sto_answer_free(&a);
 }
 
@@ -433,7 +433,7 @@
 	} cases[] = {
 		{ 404, STO_ABSENT },	   { 412, STO_CONFLICT },
 		{ 410, STO_HISTORY_LOST }, { 429, STO_BUSY },
-		{ 503, STO_BUSY },	   { 500, STO_BAD },
+		{ 503, STO_BUSY },	   { 500, STO_MALFORMED },
 	};
 	size_t i;
 
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -133,7 +133,7 @@
 	size_t n, k;
 
 	rank_alive(i, now);
-	n = feed_watchers((unsigned)w.rank.n);
+	n = feed_watcher_count((unsigned)w.rank.n);
 	if (n > w.rank.n)
 		n = w.rank.n;
 	rank_select(&w.rank, n);
@@ -150,11 +150,11 @@
 static void begin_call(int i, int64_t now)
 {
 	struct entry *e = &w.e[i];
-	const struct feed_start s = { .since_ms = now - e->start_ms,
-				      .first = true,
-				      .others = e->known_entries,
-				      .entries = true,
-				      .asked = e->has_watched };
+	const struct feed_startup s = { .since_ms = now - e->start_ms,
+					.first_start = true,
+					.known_entries = e->known_entries,
+					.entry_keys = true,
+					.has_watched = e->has_watched };
 	enum mir_call call;
 
 	if (e->mir.state == MIR_WATCH && !w.watch_at_once &&
@@ -183,7 +183,7 @@
 	struct entry *e = &w.e[i];
 
 	deliver_registrations(i, 0, false);
-	mir_page(&e->mir, NULL, false, w.revision, now);
+	mir_page_end(&e->mir, NULL, false, w.revision, now);
 	if (!e->registered_rev)
 		e->registered_rev = ++w.revision;
 	e->pending_call = NO_CALL;
@@ -196,7 +196,7 @@
 	const bool any = deliver_registrations(i, from, true) > 0;
 
 	feed_add(&e->feed, from, w.revision, any, "c", 1);
-	mir_watched(&e->mir, any, w.revision, now);
+	mir_watch_end(&e->mir, any, w.revision, now);
 	e->pending_call = NO_CALL;
 }
 
@@ -212,7 +212,7 @@
 {
 	struct entry *e = &w.e[i];
 	const struct entry *leader = &w.e[e->leader];
-	const struct feed_part *part = NULL;
+	const struct feed_batch *part = NULL;
 	const int64_t from = e->mir.revision;
 	enum feed_answer answer = FEED_GAP;
 
@@ -222,12 +222,12 @@
 		fail_follow(e, now);
 		return;
 	}
-	if (answer == FEED_WAIT && now - e->call_start_ms < FOLLOW_WAIT_MS)
+	if (answer == FEED_UNCHANGED && now - e->call_start_ms < FOLLOW_WAIT_MS)
 		return;
 	if (part)
 		deliver_registrations(i, from, true);
 	feed_add(&e->feed, from, part ? part->to : from, part != NULL, "c", 1);
-	mir_watched(&e->mir, false, part ? part->to : from, now);
+	mir_watch_end(&e->mir, false, part ? part->to : from, now);
 	e->pending_call = NO_CALL;
 }
 
