--- a/lib/store/feed.c
+++ b/lib/store/feed.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* One watcher for so many entries. */
-#define ENTRIES_EACH 32
+/* One watcher for this many entries. */
+#define ENTRIES_PER_WATCHER 32
 
 void feed_init(struct feed *f)
 {
@@ -29,7 +29,7 @@
 {
 	struct feed_batch *p;
 
-	/* What came before does not reach up to this watch. */
+	/* Older batches do not reach up to this answer: there is a gap. */
 	if (from != f->known_to) {
 		feed_clear(f);
 		f->unchanged_after = from;
@@ -38,7 +38,7 @@
 	if (!any)
 		return;
 	if (len > FEED_MAX_BYTES) {
-		/* Nobody who is behind it gets anything here. */
+		/* Followers behind it read it from the store. */
 		feed_clear(f);
 		f->known_to = f->unchanged_after = to;
 		return;
@@ -53,7 +53,7 @@
 }
 
 enum feed_answer feed_after(const struct feed *f, int64_t revision,
-			    const struct feed_batch **part)
+			    const struct feed_batch **batch)
 {
 	const struct feed_batch *best = NULL;
 	unsigned i;
@@ -65,11 +65,11 @@
 
 		if (!p->to || p->to <= revision || p->from > revision)
 			continue;
-		/* The oldest that fits: none between is passed over. */
+		/* The oldest one that fits, so that no change is skipped. */
 		if (!best || p->to < best->to)
 			best = p;
 	}
-	*part = best;
+	*batch = best;
 	if (best)
 		return FEED_CHANGES;
 	return revision >= f->unchanged_after ? FEED_UNCHANGED : FEED_GAP;
@@ -91,7 +91,7 @@
 
 unsigned feed_watcher_count(unsigned n)
 {
-	const unsigned k = (n + ENTRIES_EACH - 1) / ENTRIES_EACH;
+	const unsigned k = (n + ENTRIES_PER_WATCHER - 1) / ENTRIES_PER_WATCHER;
 
 	return k < 2 ? 2 : k;
 }
--- a/lib/store/feed.h
+++ b/lib/store/feed.h
@@ -1,14 +1,16 @@
 /*
- * feed: the changes that this entry's watch brought, for other entries.
+ * feed: the changes that this entry's watch of the store returned, kept for the
+ * entries that follow it.
  *
- * A few entries watch the store; the others ask one of those. Each return of
- * the watch is kept as it came, with the revisions that it spans. Changes are
- * idempotent by the revision of each key, so one that begins before the
- * revision asked for may be given whole.
+ * A few entries (the watchers) watch the store; each of the others follows one
+ * of them. Each answer of the watch that has changes is kept as a batch, with
+ * the range of revisions that it covers. Applying a change is idempotent by the
+ * revision of its key, so a batch that begins before the revision that a
+ * follower has can be sent whole.
  *
- * What it buys: a return of a watch is a priced call, and without it each
- * entry has one for each change. On eight entries calls fell by half; on
- * eighty they were a quarter of the day's worth.
+ * Reason: each answer of a watch is a priced call, and without followers every
+ * entry gets one per change. With eight entries, following halved the calls;
+ * with eighty, the calls were a quarter of the day's worth.
  */
 #ifndef FEED_H
 #define FEED_H
@@ -19,96 +21,112 @@
 
 #include "base/buf.h"
 
-/* Returns that are kept: an asker is at most a few of them behind. */
+/* Batches that are kept; a follower is at most a few of them behind. */
 #define FEED_MAX_BATCHES 32
 
 /*
- * Changes of more bytes, packed, are not passed on: the asker reads them from
- * the store. Sent to 28 followers over a link of 10 Mbit/s, as many bytes take 0.4
- * s; more would hold up what comes after them.
+ * Largest batch, in bytes as sent (compressed if large). Followers read larger
+ * changes from the store. This many bytes, sent to 28 followers over a link of
+ * 10 Mbit/s, take 0.4 s; more would delay the changes after them too long.
  */
 #define FEED_MAX_BYTES 16384
 
 struct feed_batch {
-	int64_t from, to; /* changes after `from`, up to `to` */
+	int64_t from, to; /* has the changes after `from`, up to `to` */
 	struct buf body;
 };
 
 struct feed {
-	struct feed_batch batches[FEED_MAX_BATCHES];
-	unsigned next;
+	struct feed_batch batches[FEED_MAX_BATCHES]; /* ring buffer */
+	unsigned next;				     /* slot of the next one */
 	/*
-	 * No watched key changed after `quiet` up to `upto`. The store's
-	 * revision rises with keys that are not watched, too: between the end
-	 * of one part and the beginning of the next there is no gap.
+	 * No watched key changed after `unchanged_after`, up to `known_to`. The
+	 * store's revision also rises with keys that are not watched: the
+	 * revisions between two batches are not a gap.
 	 */
 	int64_t unchanged_after;
-	int64_t known_to; /* the last revision that is known; 0: none */
+	int64_t known_to; /* latest known revision; 0: none */
 };
 
 void feed_init(struct feed *f);
+
+/* Frees the batches, but not `f` itself. */
 void feed_free(struct feed *f);
 
-/* A return of the watch from revision `from`; `any`: it had changes. */
+/*
+ * Records an answer of the watch: it covers the changes after revision `from`,
+ * up to `to`. If `any`, it has changes, and `body` (copied, may be compressed)
+ * is what followers are sent. If `from` is not where the last answer ended,
+ * older batches are dropped; if `body` is too large, all are.
+ */
 void feed_add(struct feed *f, int64_t from, int64_t to, bool any,
 	      const char *body, size_t len);
 
-/* The history is lost, or a reading began: nothing before counts. */
+/*
+ * Drops everything, so that followers get FEED_GAP. To be called when the
+ * store's history is lost or a new listing begins.
+ */
 void feed_clear(struct feed *f);
 
 enum feed_answer {
-	FEED_CHANGES,	/* *part has changes after that revision */
-	FEED_UNCHANGED, /* nothing since, up to feed.upto */
-	FEED_GAP,	/* not known here: ask the store */
+	FEED_CHANGES,	/* *batch has changes after the revision */
+	FEED_UNCHANGED, /* no changes after it, up to feed.known_to */
+	FEED_GAP,	/* not covered here: read from the store */
 };
 
+/*
+ * Looks up the changes after `revision`. With FEED_CHANGES, *batch is the
+ * oldest batch that has some; it is owned by `f` and valid until the next
+ * feed_add() or feed_clear().
+ */
 enum feed_answer feed_after(const struct feed *f, int64_t revision,
-			    const struct feed_batch **part);
+			    const struct feed_batch **batch);
 
 /*
- * A feed is relied on only while its watch answered this lately, beyond its
- * wait: while the watch is held up other calls to the store may succeed, and
- * followers would be told that nothing has changed. A watch pauses 0.4 s
- * between answers (MIR_PACE_MS).
+ * ms. A feed is current while its watch was answered no longer ago than the
+ * watch's wait and this. If a watch is stalled, other calls to the store may
+ * still succeed, and followers would be told that nothing has changed. A watch
+ * pauses for 400 ms between answers (MIR_PACE_MS).
  */
 #define FEED_STALE_MS 700
 
 /*
- * True if a watch that waits `wait_ms`, and last answered at `answered_ms`
- * (0: never), is not held up.
+ * True if the feed of a watch that waits up to `wait_ms` for changes and was
+ * last answered at `answered_ms` (0: never) is current.
  */
 bool feed_is_current(int64_t answered_ms, int wait_ms, int64_t now_ms);
 
 /*
- * An entry that has just started has read all keys. Who else started with it
- * it asks once after the first of these times, in which all have registered;
- * then it tells and hears the others, and from the second time on it follows
- * one that watches the store.
+ * ms since the start of an entry. When it has started, it lists all keys. After
+ * FEED_REGISTER_MS, by when all entries that started together have registered,
+ * it watches the keys of entries once to learn of them. Then it exchanges
+ * datagrams with them, and after FEED_SETTLE_MS it follows a watcher.
  *
- * What it buys: when each watched the store until it had heard of the others,
- * and had an answer for every few registrations, 295 entries that started
- * together made 16 calls each; so they make 8, however many they are.
+ * Reason: when each entry watched the store until it had received datagrams,
+ * its watch returned after every few registrations, and 295 entries that
+ * started together made 16 calls each. With these delays they make 8, however
+ * many they are.
  */
 #define FEED_REGISTER_MS 700
 #define FEED_SETTLE_MS 2000
 
 struct feed_startup {
 	int64_t since_ms;     /* since this entry started */
-	bool first_start;     /* it is the very first start of all */
-	size_t known_entries; /* entries that it knows */
-	bool entry_keys;      /* the keys are those that tell of entries */
+	bool first_start;     /* the whole system starts for the first time */
+	size_t known_entries; /* other entries that it knows */
+	bool entry_keys;      /* the keys are the registrations of entries */
 	bool has_watched;     /* they were watched since the start */
 };
 
 /*
- * True if the keys may be watched now. An entry that knows no other one, and
- * not at the very first start, may be the only one: it does not wait.
+ * True if the keys may be watched now. An entry that knows no other one may be
+ * the only one and does not wait, except at the first start of the system.
  */
 bool feed_may_watch(const struct feed_startup *s);
 
 /*
- * Which entries watch the store: of `n` entries these many, two at least, so
- * that one can go without the others noticing.
+ * Returns how many of `n` entries watch the store: at least two, so that
+ * followers do not notice the loss of one.
  */
 unsigned feed_watcher_count(unsigned n);
 
--- a/lib/store/mir.c
+++ b/lib/store/mir.c
@@ -11,7 +11,7 @@
 struct mir_item {
 	char *key;
 	int64_t revision;
-	uint64_t reading; /* the reading that last had it */
+	uint64_t listing; /* the last one that had it */
 	UT_hash_handle hh;
 };
 
@@ -24,7 +24,7 @@
 	m->listing = 1;
 }
 
-static void forget(struct mir *m, struct mir_item *it)
+static void remove_item(struct mir *m, struct mir_item *it)
 {
 	HASH_DEL(m->items, it);
 	free(it->key);
@@ -37,7 +37,7 @@
 
 	HASH_ITER(hh, m->items, it, next)
 	{
-		forget(m, it);
+		remove_item(m, it);
 	}
 }
 
@@ -57,7 +57,7 @@
 	return it;
 }
 
-/* uthash's macro counts as fifty statements of ours. */
+/* uthash's macro expands to some fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static void add(struct mir *m, const char *key, int64_t revision)
 {
@@ -66,17 +66,17 @@
 	assert(it);
 	it->key = mem_dup(key);
 	it->revision = revision;
-	it->reading = m->listing;
+	it->listing = m->listing;
 	HASH_ADD_KEYPTR(hh, m->items, it->key, strlen(it->key), it);
 }
 
-/* Records a write; false if it is known already. */
-static bool learn(struct mir *m, const char *key, int64_t revision)
+/* Records the revision of a key; false if this or a later one is known. */
+static bool record(struct mir *m, const char *key, int64_t revision)
 {
 	struct mir_item *it = find(m, key);
 
 	if (it) {
-		it->reading = m->listing;
+		it->listing = m->listing;
 		if (revision <= it->revision)
 			return false;
 		it->revision = revision;
@@ -89,25 +89,25 @@
 void mir_item(struct mir *m, const char *key, const char *value, size_t len,
 	      int64_t revision)
 {
-	if (learn(m, key, revision))
+	if (record(m, key, revision))
 		m->vt->put(m->arg, key, value, len, revision);
 }
 
-/* Keys of earlier readings that this one did not have are gone. */
-static void sweep(struct mir *m)
+/* Keys of earlier listings that the current one does not have are deleted. */
+static void delete_unlisted(struct mir *m)
 {
 	struct mir_item *it, *next;
 
 	HASH_ITER(hh, m->items, it, next)
 	{
-		if (it->reading == m->listing)
+		if (it->listing == m->listing)
 			continue;
 		m->vt->deleted(m->arg, it->key, m->first_page_rev);
-		forget(m, it);
+		remove_item(m, it);
 	}
 }
 
-static void succeed(struct mir *m, enum mir_call next, int64_t due)
+static void complete_call(struct mir *m, enum mir_call next, int64_t due)
 {
 	m->call_pending = false;
 	m->retries = 0;
@@ -122,13 +122,13 @@
 		m->first_page_rev = revision;
 	if (more && last_key) {
 		str_copy(m->after, last_key, sizeof(m->after));
-		succeed(m, MIR_LIST, now);
+		complete_call(m, MIR_LIST, now);
 		return;
 	}
-	sweep(m);
+	delete_unlisted(m);
 	m->revision = m->first_page_rev;
 	m->complete = true;
-	succeed(m, MIR_WATCH, now);
+	complete_call(m, MIR_WATCH, now);
 }
 
 void mir_event(struct mir *m, const char *key, const char *value, size_t len,
@@ -144,17 +144,17 @@
 	if (!it || it->revision > revision)
 		return;
 	m->vt->deleted(m->arg, key, revision);
-	forget(m, it);
+	remove_item(m, it);
 }
 
 void mir_watch_end(struct mir *m, bool any, int64_t revision, int64_t now)
 {
 	if (revision > m->revision)
 		m->revision = revision;
-	succeed(m, MIR_WATCH, any ? now + MIR_PACE_MS : now);
+	complete_call(m, MIR_WATCH, any ? now + MIR_PACE_MS : now);
 }
 
-static void read_anew(struct mir *m, int64_t due)
+static void restart_listing(struct mir *m, int64_t due)
 {
 	m->state = MIR_LIST;
 	m->after[0] = '\0';
@@ -166,7 +166,7 @@
 
 void mir_history_lost(struct mir *m, int64_t now)
 {
-	read_anew(m, now);
+	restart_listing(m, now);
 }
 
 void mir_failed(struct mir *m, int64_t now)
@@ -181,7 +181,10 @@
 	m->retries++;
 	m->call_pending = false;
 	m->due_ms = now + wait;
-	/* A reading that broke off begins anew: its first page has aged. */
+	/*
+	 * A failed listing starts again: the watch would begin at the revision
+	 * of its first page, which is old by now.
+	 */
 	if (m->state == MIR_LIST)
-		read_anew(m, now + wait);
+		restart_listing(m, now + wait);
 }
--- a/lib/store/mir.h
+++ b/lib/store/mir.h
@@ -1,12 +1,14 @@
 /*
- * mir: follows the store's keys: reads them once, page by page, then watches
- * from the revision of the first page, and reads anew when the history is
- * lost. A pure state machine: answers go in, the next call comes out, and
- * each change of a key is told once.
+ * mir (mirror): keeps up with the store's keys under a prefix. It lists them
+ * once, page by page, then watches for changes from the revision of the first
+ * page, and lists them again when the store no longer has the history that the
+ * watch needs. A pure state machine: the store's answers go in, the next call
+ * comes out, and each change of a key is reported once.
  *
- * Pages are no snapshot, so a change between two of them is seen again by
- * the watch: what is told is idempotent by the revision of each key. A watch
- * that says nothing proves nothing, so watches are short.
+ * The pages are not a snapshot: the watch may return a change between two of
+ * them again. Reports are therefore idempotent by the revision of each key. A
+ * watch without an answer does not prove that nothing has changed, so watches
+ * are short.
  */
 #ifndef MIR_H
 #define MIR_H
@@ -16,28 +18,28 @@
 #include <stdint.h>
 
 /*
- * After a watch brought something, so long passes before the next: changes
- * come in flocks, and each return of a watch is a priced call.
+ * ms to wait after a watch has returned changes: changes come in bursts, and
+ * each answer of a watch is a priced call.
  */
 #define MIR_PACE_MS 400
 
-/* After a failed call; doubled each time up to the bound. */
+/* ms to wait after a failed call, doubled with each failure up to the bound. */
 #define MIR_RETRY_MS 100
 #define MIR_RETRY_MAX_MS 300
 
 enum mir_call {
-	MIR_NONE,  /* nothing yet: ask again at `due_ms` */
-	MIR_LIST,  /* read a page after the key `after` ("": the first) */
-	MIR_WATCH, /* watch from `revision` */
+	MIR_NONE,  /* none now: call again at `due_ms` */
+	MIR_LIST,  /* list a page after the key `after` ("": the first page) */
+	MIR_WATCH, /* watch for changes after `revision` */
 };
 
 struct mir_item;
 
 struct mir_vtable {
-	/* A key was written. */
+	/* A key was written. `value` is valid during the call. */
 	void (*put)(void *arg, const char *key, const char *value, size_t len,
 		    int64_t revision);
-	/* A key is gone, at `revision` or before. */
+	/* A key was deleted, at `revision` or before. */
 	void (*deleted)(void *arg, const char *key, int64_t revision);
 };
 
@@ -45,38 +47,57 @@
 	const struct mir_vtable *vt;
 	void *arg;
 	struct mir_item *items; /* uthash by key */
-	enum mir_call state;	/* the call to make next, or under way */
+	enum mir_call state;	/* the next call, or the pending one */
 	bool call_pending;
 	char after[256];
-	int64_t first_page_rev; /* 0: no page of this reading yet */
-	uint64_t listing;	/* number of this reading */
-	int64_t revision;	/* watched up to here */
-	int64_t due_ms;
+	int64_t first_page_rev; /* 0: no page of this listing yet */
+	uint64_t listing;	/* number of the current listing */
+	int64_t revision;	/* changes up to here were reported */
+	int64_t due_ms;		/* no call before */
 	int retries;
-	bool complete; /* at least one reading was completed */
+	bool complete; /* at least one listing was completed */
 };
 
+/* Initializes `m`; `vt` must outlive it, and its functions get `arg`. */
 void mir_init(struct mir *m, const struct mir_vtable *vt, void *arg);
+
+/* Frees the keys, but not `m` itself, and reports nothing. */
 void mir_free(struct mir *m);
 
-/* The call to make now; it is then under way. */
+/*
+ * Returns the call to make now; it is then pending. MIR_NONE if one is pending
+ * already or none is due.
+ */
 enum mir_call mir_next(struct mir *m, int64_t now_ms);
 
-/* One key of a page, then the end of the page. */
+/* One key of the answer to MIR_LIST. `key` is copied, `value` passed on. */
 void mir_item(struct mir *m, const char *key, const char *value, size_t len,
 	      int64_t revision);
+
+/*
+ * End of the answer to MIR_LIST. `last_key` is the last one of the page (NULL:
+ * it was empty), `more`: further pages follow, `revision`: that of the store.
+ */
 void mir_page_end(struct mir *m, const char *last_key, bool more,
 		  int64_t revision, int64_t now_ms);
 
-/* One event of a watch (value NULL: the key is gone), then its end. */
+/* One event of the answer to MIR_WATCH. `value` NULL: the key was deleted. */
 void mir_event(struct mir *m, const char *key, const char *value, size_t len,
 	       int64_t revision);
+
+/*
+ * End of the answer to MIR_WATCH. `any`: it had events, so the next watch waits
+ * for MIR_PACE_MS; `revision`: changes up to there were returned.
+ */
 void mir_watch_end(struct mir *m, bool any, int64_t revision, int64_t now_ms);
 
-/* The history is gone: all is read anew, at once. */
+/*
+ * The store no longer has the changes after `revision`: a new listing begins at
+ * once.
+ */
 void mir_history_lost(struct mir *m, int64_t now_ms);
 
-/* The call failed. */
+/* The pending call failed: it is repeated after a backoff. */
 void mir_failed(struct mir *m, int64_t now_ms);
 
 #endif
--- a/lib/store/sto.c
+++ b/lib/store/sto.c
@@ -7,53 +7,60 @@
 #include "base/zip.h"
 
 /*
- * Bounds on the store's silence, not on the whole of an answer. The store
- * answers in some 8 ms, and 70 times that on its slow days; a call that is
- * lost must leave time for another one within the two seconds in which a
- * change has to be in force.
+ * Time-outs in ms for a silent connection, not for a whole answer. The store
+ * answers within about 8 ms, and 70 times that on its slow days. A lost call
+ * must leave time for another one within the two seconds in which a change has
+ * to be in force.
  *
- * A large answer on a slow link lasts longer: a megabyte takes 0.9 s at 10
- * Mbit/s when nothing else is on the link. Given up on the way it would be
- * asked for anew, straight and through other entries, and each of those takes
- * its part of the link from the others: none ends, the store counts as away
- * though it answers, and the entries' bytes are a multiple of the answer.
+ * A large answer takes longer on a slow link: 1 MB takes 0.9 s at 10 Mbit/s
+ * with no other traffic. If it timed out while it arrives, it would be
+ * requested again, directly and through other entries, and these transfers
+ * would share the link: none would finish, the store would count as unreachable
+ * although it answers, and the entries would transfer a multiple of the
+ * answer's size.
  */
 #define CALL_MS 900
 #define CONNECT_MS 400
 
 /*
- * An answer that trickles is given up after that all the same: the largest,
- * of 1.4 MB, takes 1.2 s at 10 Mbit/s, and there may be a few at a time.
+ * Time-out in ms for a whole answer, even if data still arrives. The largest
+ * one, of 1.4 MB, takes 1.2 s at 10 Mbit/s, and a few may be in transit at a
+ * time.
  */
 #define ANSWER_MS 12000
 
-/* A call that is relayed may be a watch that waits. */
+/* Additional time in ms for a relayed call, which may be a waiting watch. */
 #define RELAY_WAIT_MS 2000
 
 /*
- * The store was away if nothing succeeded for so long. A lease is renewed
- * every 0.9 s; endpoints' entries lapse after 3.6 s of silence.
+ * ms without a successful call after which the store counts as having been
+ * unreachable. A lease is renewed every 0.9 s; the endpoints' entries in the
+ * store expire after 3.6 s without renewal.
  */
-#define AWAY_MS 1500
+#define OUTAGE_MS 1500
 
 /*
- * A detour takes one more round trip, and the entry on it passes an answer on
- * when it has it whole: nothing comes while it reads.
+ * Additional ms for a call through a relay: one more round trip, and for reads
+ * the time in which the relay receives the answer. It forwards an answer only
+ * when it is complete; until then the connection is silent.
  */
-#define DETOUR_EXTRA_MS 100
-#define DETOUR_READ_MS 1200
+#define VIA_RELAY_EXTRA_MS 100
+#define VIA_RELAY_READ_MS 1200
 
 /*
- * After a failure the direct way is left alone for so long, doubled up to
- * the bound: each attempt on a silent way costs the time of a call.
+ * Backoff in ms of the direct connection after a failure, doubled with each
+ * one up to the bound: each attempt on a broken connection costs a time-out.
  */
-#define DIRECT_REST_MS 700
-#define DIRECT_REST_MAX_MS 2800
+#define DIRECT_BACKOFF_MS 700
+#define DIRECT_BACKOFF_MAX_MS 2800
 
-/* A watch brings at most as much as a page of the store: 1 MB, in base64. */
+/*
+ * Bytes. A watch returns at most as much as one page of the store: 1 MB, in
+ * base64.
+ */
 #define UNPACKED_MAX (2u << 20)
 
-/* The store keeps idle connections longer than this. */
+/* ms. The store keeps idle connections longer than this. */
 #define IDLE_MS 8000
 
 struct sto {
@@ -61,29 +68,29 @@
 	const struct clk *clk;
 	const struct sto_codec *codec;
 	struct htc_peer direct;
-	struct htc_peer around; /* the entry of the present detour */
-	bool around_set;
+	struct htc_peer relay; /* the entry that relays calls */
+	bool relay_set;
 	struct {
-		struct htc_peer leader; /* the entry whose watch is followed */
+		struct htc_peer leader; /* the followed entry */
 		bool set;
 	} lanes[STO_LANES];
 	char host[32];
-	sto_on_reachability told;
-	void *told_arg;
-	sto_choose_relay detour;
-	void *detour_arg;
-	sto_on_trace traced;
-	void *traced_arg;
-	sto_on_restore returned;
-	void *returned_arg;
+	sto_on_reachability on_reachability;
+	void *on_reachability_arg;
+	sto_choose_relay choose_relay;
+	void *choose_relay_arg;
+	sto_on_trace on_trace;
+	void *on_trace_arg;
+	sto_on_restore on_restore;
+	void *on_restore_arg;
 	int64_t era;
-	bool era_known; /* an answer came, whether it named an era or not */
+	bool era_known; /* an answer arrived, with or without an era */
 	bool direct_ok;
-	int64_t rest_until_ms; /* the direct way is not used before */
-	int64_t rest_ms;       /* the last rest */
-	int64_t good_ms;       /* last success, by whatever way */
-	int64_t direct_good_ms;
-	int64_t back_ms; /* it came back after being away; 0: never */
+	int64_t backoff_until_ms; /* no direct call before */
+	int64_t backoff_ms;	  /* the last backoff */
+	int64_t success_ms;	  /* last success, direct or relayed */
+	int64_t direct_success_ms;
+	int64_t recovered_ms; /* reachable again after OUTAGE_MS; 0: never */
 	bool reachable;
 };
 
@@ -93,14 +100,14 @@
 	sto_done done;
 	void *arg;
 	int64_t asked_ms;
-	int wait_ms; /* of a watch */
+	int wait_ms; /* of a watch, which the store may take to answer */
 	bool direct;
-	bool following; /* says nothing of the store itself */
+	bool following; /* sent to an entry: its outcome is not the store's */
 	int status;
-	int64_t era; /* that the answer names; -1: no answer yet */
+	int64_t era; /* of the answer; -1: no answer yet */
 	struct buf body;
-	ev_timer later; /* an outcome that is known at once is told later */
-	struct sto_answer now;
+	ev_timer later; /* reports an outcome that is known at once */
+	struct sto_answer immediate; /* that outcome */
 };
 
 const char *sto_outcome_name(enum sto_outcome o)
@@ -141,7 +148,7 @@
 	(void)a;
 }
 
-/* ---- The way ---- */
+/* ---- Connections ---- */
 
 static const struct htc_limits limits = {
 	.connect_ms = CONNECT_MS,
@@ -152,8 +159,8 @@
 
 struct sto *sto_create(struct ev_loop *loop, const struct clk *clk,
 		       const struct sto_codec *codec,
-		       const struct sockaddr_in *addr, sto_on_reachability told,
-		       void *arg)
+		       const struct sockaddr_in *addr,
+		       sto_on_reachability on_reachability, void *arg)
 {
 	struct sto *s = calloc(1, sizeof(*s));
 
@@ -161,8 +168,8 @@
 	s->loop = loop;
 	s->clk = clk;
 	s->codec = codec;
-	s->told = told;
-	s->told_arg = arg;
+	s->on_reachability = on_reachability;
+	s->on_reachability_arg = arg;
 	s->direct_ok = true;
 	strcpy(s->host, "store");
 	htc_peer_init(&s->direct, loop, clk, addr, &limits);
@@ -174,8 +181,8 @@
 	unsigned i;
 
 	htc_peer_close(&s->direct);
-	if (s->around_set)
-		htc_peer_close(&s->around);
+	if (s->relay_set)
+		htc_peer_close(&s->relay);
 	for (i = 0; i < STO_LANES; i++) {
 		if (s->lanes[i].set)
 			htc_peer_close(&s->lanes[i].leader);
@@ -183,16 +190,16 @@
 	free(s);
 }
 
-void sto_set_relay(struct sto *s, sto_choose_relay detour, void *arg)
+void sto_set_relay(struct sto *s, sto_choose_relay choose_relay, void *arg)
 {
-	s->detour = detour;
-	s->detour_arg = arg;
+	s->choose_relay = choose_relay;
+	s->choose_relay_arg = arg;
 }
 
-void sto_set_trace(struct sto *s, sto_on_trace traced, void *arg)
+void sto_set_trace(struct sto *s, sto_on_trace on_trace, void *arg)
 {
-	s->traced = traced;
-	s->traced_arg = arg;
+	s->on_trace = on_trace;
+	s->on_trace_arg = arg;
 }
 
 bool sto_direct_ok(const struct sto *s)
@@ -202,7 +209,7 @@
 
 int64_t sto_recovered_ms(const struct sto *s)
 {
-	return s->back_ms;
+	return s->recovered_ms;
 }
 
 bool sto_reachable(const struct sto *s)
@@ -210,19 +217,23 @@
 	return s->reachable;
 }
 
-static void tell(const struct pending *p, bool reachable, const char *why)
+static void report_reachability(const struct pending *p, bool reachable,
+				const char *why)
 {
 	struct sto *s = p->s;
 
 	if (s->reachable == reachable)
 		return;
 	s->reachable = reachable;
-	s->told(s->told_arg, reachable, why, p->direct,
-		clk_boot_ms(s->clk) - p->asked_ms);
+	s->on_reachability(s->on_reachability_arg, reachable, why, p->direct,
+			   clk_boot_ms(s->clk) - p->asked_ms);
 }
 
-/* A peer is used anew for another address once no call is under way. */
-static struct htc_peer *point_at(struct sto *s, struct htc_peer *p, bool *set,
+/*
+ * Points `p` at the address `to`. Returns NULL if it has another address and
+ * calls are pending on it.
+ */
+static struct htc_peer *retarget(struct sto *s, struct htc_peer *p, bool *set,
 				 const struct sockaddr_in *to)
 {
 	if (*set && !memcmp(&p->addr, to, sizeof(*to)))
@@ -236,74 +247,74 @@
 	return p;
 }
 
-/* While calls run on the detour of before, that one is kept. */
-static struct htc_peer *detour_peer(struct sto *s)
+/* The relay to use. The previous one is kept while calls are pending on it. */
+static struct htc_peer *relay_peer(struct sto *s)
 {
-	const struct sockaddr_in *to = s->detour ? s->detour(s->detour_arg)
-						 : NULL;
+	const struct sockaddr_in *to =
+		s->choose_relay ? s->choose_relay(s->choose_relay_arg) : NULL;
 	struct htc_peer *p;
 
 	if (!to)
 		return NULL;
-	p = point_at(s, &s->around, &s->around_set, to);
-	return p ? p : &s->around;
+	p = retarget(s, &s->relay, &s->relay_set, to);
+	return p ? p : &s->relay;
 }
 
-static struct htc_peer *choose(struct sto *s, bool *direct)
+static struct htc_peer *choose_peer(struct sto *s, bool *direct)
 {
-	struct htc_peer *around;
+	struct htc_peer *relay;
 
 	*direct = true;
-	if (s->direct_ok || clk_boot_ms(s->clk) >= s->rest_until_ms)
+	if (s->direct_ok || clk_boot_ms(s->clk) >= s->backoff_until_ms)
 		return &s->direct;
-	around = detour_peer(s);
-	if (!around)
+	relay = relay_peer(s);
+	if (!relay)
 		return &s->direct;
 	*direct = false;
-	return around;
+	return relay;
 }
 
 /* ---- Answers ---- */
 
-static void rest(struct sto *s, int64_t now)
+static void back_off(struct sto *s, int64_t now)
 {
-	if (now < s->rest_until_ms)
+	if (now < s->backoff_until_ms)
 		return;
-	s->rest_ms = s->rest_ms ? s->rest_ms * 2 : DIRECT_REST_MS;
-	if (s->rest_ms > DIRECT_REST_MAX_MS)
-		s->rest_ms = DIRECT_REST_MAX_MS;
-	s->rest_until_ms = now + s->rest_ms;
+	s->backoff_ms = s->backoff_ms ? s->backoff_ms * 2 : DIRECT_BACKOFF_MS;
+	if (s->backoff_ms > DIRECT_BACKOFF_MAX_MS)
+		s->backoff_ms = DIRECT_BACKOFF_MAX_MS;
+	s->backoff_until_ms = now + s->backoff_ms;
 }
 
-static void note(struct pending *p, enum sto_outcome o)
+static void record_outcome(struct pending *p, enum sto_outcome o)
 {
 	struct sto *s = p->s;
 	const int64_t now = clk_boot_ms(s->clk);
 	const bool good = o < STO_BUSY;
 
 	if (good) {
-		if (s->good_ms && now - s->good_ms > AWAY_MS)
-			s->back_ms = now;
-		s->good_ms = now;
+		if (s->success_ms && now - s->success_ms > OUTAGE_MS)
+			s->recovered_ms = now;
+		s->success_ms = now;
 	}
 	if (p->direct) {
 		s->direct_ok = good;
 		if (good) {
-			s->rest_ms = 0;
-			s->direct_good_ms = now;
+			s->backoff_ms = 0;
+			s->direct_success_ms = now;
 		} else {
-			rest(s, now);
+			back_off(s, now);
 		}
 	}
-	tell(p, good, sto_outcome_name(o));
+	report_reachability(p, good, sto_outcome_name(o));
 }
 
 /* ---- Eras ---- */
 
-void sto_set_on_restore(struct sto *s, sto_on_restore returned, void *arg)
+void sto_set_on_restore(struct sto *s, sto_on_restore on_restore, void *arg)
 {
-	s->returned = returned;
-	s->returned_arg = arg;
+	s->on_restore = on_restore;
+	s->on_restore_arg = arg;
 }
 
 int64_t sto_era(const struct sto *s)
@@ -320,15 +331,15 @@
 		return;
 	s->era = era;
 	s->era_known = true;
-	if (known && s->returned)
-		s->returned(s->returned_arg, from, era);
+	if (known && s->on_restore)
+		s->on_restore(s->on_restore_arg, from, era);
 }
 
 /*
- * An answer of an earlier era was on the way for long: what it says is gone,
- * and whether a write of that era stands is not known.
+ * An answer of an earlier era was delayed: the state that it reports is lost,
+ * and it is unknown whether a write of that era still exists.
  */
-static void judge_era(const struct pending *p, struct sto_answer *a)
+static void check_era(const struct pending *p, struct sto_answer *a)
 {
 	a->era = p->era;
 	if (p->era < 0)
@@ -339,7 +350,7 @@
 		sto_learn_era(p->s, p->era);
 }
 
-static void stamp(const struct pending *p, struct sto_answer *a)
+static void add_era(const struct pending *p, struct sto_answer *a)
 {
 	size_t i;
 
@@ -362,19 +373,19 @@
 		.bytes = p->body.len,
 	};
 
-	if (s->traced)
-		s->traced(s->traced_arg, &t);
+	if (s->on_trace)
+		s->on_trace(s->on_trace_arg, &t);
 }
 
 static void finish(struct pending *p, struct sto_answer *a)
 {
-	judge_era(p, a);
+	check_era(p, a);
 	trace(p, a->outcome);
 	a->asked_ms = p->asked_ms;
 	a->raw = buf_cstr(&p->body);
 	a->raw_len = p->body.len;
 	if (!p->following)
-		note(p, a->outcome);
+		record_outcome(p, a->outcome);
 	p->done(p->arg, a);
 	sto_answer_free(a);
 	buf_free(&p->body);
@@ -404,12 +415,12 @@
 		   struct sto_answer *a)
 {
 	p->s->codec->decode(p->kind, p->status, buf_cstr(body), body->len, a);
-	stamp(p, a);
+	add_era(p, a);
 }
 
 /*
- * A followed entry sends many changes packed. What cannot be unpacked is
- * decoded as it is, and makes no sense then.
+ * A followed entry sends large batches compressed. A body that cannot be
+ * decompressed is decoded as it is, which gives STO_MALFORMED.
  */
 static void decode_followed(const struct pending *p, struct sto_answer *a)
 {
@@ -454,18 +465,18 @@
 
 	(void)loop;
 	(void)revents;
-	finish(p, &p->now);
+	finish(p, &p->immediate);
 }
 
-static void tell_later(struct pending *p, enum sto_outcome outcome)
+static void finish_later(struct pending *p, enum sto_outcome outcome)
 {
-	p->now.outcome = outcome;
+	p->immediate.outcome = outcome;
 	ev_timer_init(&p->later, on_later, 0.001, 0);
 	p->later.data = p;
 	ev_timer_start(p->s->loop, &p->later);
 }
 
-static int time_for(const struct sto_call *call, bool direct)
+static int timeout_for(const struct sto_call *call, bool direct)
 {
 	const bool reads = call->kind == STO_GET || call->kind == STO_LIST ||
 			   call->kind == STO_WATCH;
@@ -475,14 +486,15 @@
 		ms += call->wait_ms;
 	if (direct)
 		return ms;
-	return ms + DETOUR_EXTRA_MS + (reads ? DETOUR_READ_MS : 0);
+	return ms + VIA_RELAY_EXTRA_MS + (reads ? VIA_RELAY_READ_MS : 0);
 }
 
 /*
- * With revisions as the store has them. False if a condition is on a version
- * of an earlier era: by the store's word alone it could hold by chance.
+ * Converts the versions of a call to the store's revisions. False if a
+ * condition is on a version of another era: as a revision it could hold by
+ * chance.
  */
-static bool to_plain(const struct sto *s, struct sto_call *c)
+static bool to_revisions(const struct sto *s, struct sto_call *c)
 {
 	unsigned i;
 
@@ -514,16 +526,16 @@
 	p->era = -1;
 	if (call->kind == STO_WATCH)
 		p->wait_ms = call->wait_ms;
-	if (!to_plain(s, &plain)) {
-		tell_later(p, STO_CONFLICT);
+	if (!to_revisions(s, &plain)) {
+		finish_later(p, STO_CONFLICT);
 		return;
 	}
-	to = choose(s, &p->direct);
+	to = choose_peer(s, &p->direct);
 	s->codec->encode(&plain, s->host, &wire);
-	if (htc_start(to, &wire, 0, false, time_for(call, p->direct),
+	if (htc_start(to, &wire, 0, false, timeout_for(call, p->direct),
 		      &call_vtable, p))
 		return;
-	tell_later(p, STO_UNREACHABLE);
+	finish_later(p, STO_UNREACHABLE);
 }
 
 /* ---- Following another entry ---- */
@@ -553,7 +565,7 @@
 
 int64_t sto_direct_success_ms(const struct sto *s)
 {
-	return s->direct_good_ms;
+	return s->direct_success_ms;
 }
 
 void sto_follow(struct sto *s, unsigned lane, const struct sockaddr_in *to,
@@ -562,7 +574,7 @@
 {
 	struct pending *p = calloc(1, sizeof(*p));
 	struct htc_peer *at =
-		point_at(s, &s->lanes[lane].leader, &s->lanes[lane].set, to);
+		retarget(s, &s->lanes[lane].leader, &s->lanes[lane].set, to);
 	struct buf wire = BUF_INIT;
 
 	assert(p);
@@ -582,7 +594,7 @@
 	    htc_start(at, &wire, 0, false, wait_ms + extra_ms, &call_vtable, p))
 		return;
 	buf_free(&wire);
-	tell_later(p, STO_UNREACHABLE);
+	finish_later(p, STO_UNREACHABLE);
 }
 
 /* ---- Relaying for other entries ---- */
@@ -590,7 +602,7 @@
 struct relay {
 	sto_relayed done;
 	void *arg;
-	int64_t until_ms; /* however it trickles */
+	int64_t until_ms; /* time-out of the whole answer */
 	const struct clk *clk;
 	const struct sto_codec *codec;
 	int status;
--- a/lib/store/sto.h
+++ b/lib/store/sto.h
@@ -1,15 +1,17 @@
 /*
- * sto: calls to the platform's key-value store, as the product sees them.
+ * sto (store): client of the platform's key-value store.
  *
- * The store is linearizable, keeps leases, and holds a revision that rises
- * with each change; it is given here as a version (ver.h), since the store may
- * come back from an older copy. A write whose answer is lost may have been done, or may
- * be done seconds later if its condition still holds: that is STO_UNKNOWN,
- * and reading back is the only way to know.
+ * The store is linearizable, has leases, and has a revision that rises with
+ * each change. Revisions are given here as versions (ver.h), since the store
+ * may be restored from an older copy. A write whose answer is lost may have
+ * been applied, or may be applied seconds later if its conditions still hold:
+ * this is STO_UNKNOWN, and only reading back tells.
  *
- * The names on the wire are the codec's (a vtable); the way there is chosen
- * here: straight, or through another entry when the store turns this machine
- * away or cannot be reached from it.
+ * The codec (a vtable) has the names on the wire. This module chooses the route
+ * of a call: directly to the store, or relayed by another entry when the store
+ * refuses this machine or cannot be reached from it.
+ *
+ * Single-threaded: all calls are made from the thread of the event loop.
  */
 #ifndef STO_H
 #define STO_H
@@ -22,40 +24,44 @@
 #include "io/htc.h"
 #include "store/ver.h"
 
+/* Most rows, and most conditions, of a write. */
 #define STO_MAX_ROWS 8
 
 enum sto_kind {
-	STO_GET,	 /* one key */
-	STO_LIST,	 /* a page of keys with a prefix */
-	STO_WATCH,	 /* changes after a revision */
-	STO_WRITE,	 /* writes and deletes under conditions */
-	STO_LEASE_GRANT, /* a new lease */
-	STO_LEASE_RENEW, /* renew it */
-	STO_LEASE_END,	 /* end it; its keys go */
+	STO_GET,	 /* read one key */
+	STO_LIST,	 /* read a page of the keys with a prefix */
+	STO_WATCH,	 /* wait for changes after a version */
+	STO_WRITE,	 /* put and delete keys if all conditions hold */
+	STO_LEASE_GRANT, /* create a lease */
+	STO_LEASE_RENEW, /* renew a lease */
+	STO_LEASE_END,	 /* revoke a lease, which deletes its keys */
 };
 #define STO_KINDS (STO_LEASE_END + 1)
 
-/* A row of a write. Strings belong to the caller until the call is sent. */
+/*
+ * A put or a delete of a write. The strings must stay valid until sto_call()
+ * returns.
+ */
 struct sto_row {
 	const char *key;
-	const char *value; /* NULL: delete it */
+	const char *value; /* NULL: delete the key */
 	size_t len;
-	int64_t lease; /* 0: none */
+	int64_t lease; /* that the key is attached to; 0: none */
 };
 
 struct sto_condition {
 	const char *key;
-	int64_t revision; /* its version; 0: the key must not exist */
+	int64_t revision; /* version of the key; 0: it must not exist */
 };
 
 struct sto_call {
 	enum sto_kind kind;
-	const char *key;   /* GET; LIST, WATCH: the prefix */
-	const char *after; /* LIST: begin after this key */
+	const char *key;   /* GET: the key; LIST, WATCH: the prefix */
+	const char *after; /* LIST: start after this key */
 	int64_t revision;  /* WATCH: changes after this version */
-	int wait_ms;	   /* WATCH */
-	int64_t lease;	   /* KEEP, END */
-	int ttl_ms;	   /* LEASE */
+	int wait_ms;	   /* WATCH: the store answers within this time */
+	int64_t lease;	   /* LEASE_RENEW, LEASE_END */
+	int ttl_ms;	   /* LEASE_GRANT */
 	struct sto_condition conditions[STO_MAX_ROWS];
 	unsigned nr_conditions;
 	struct sto_row rows[STO_MAX_ROWS];
@@ -65,156 +71,184 @@
 enum sto_outcome {
 	STO_OK,
 	STO_ABSENT,	  /* no such key, or no such lease */
-	STO_CONFLICT,	  /* a condition does not hold: nothing was done */
-	STO_HISTORY_LOST, /* the watch's revision is too old */
-	STO_BUSY,	  /* refused for load or down: nothing was done */
+	STO_CONFLICT,	  /* a condition does not hold: not applied */
+	STO_HISTORY_LOST, /* the store lacks changes of the watch */
+	STO_BUSY,	  /* overloaded or down: not applied */
 	STO_UNREACHABLE,  /* not sent */
 	STO_UNKNOWN,	  /* sent, no answer */
-	STO_MALFORMED,	  /* an answer that makes no sense */
+	STO_MALFORMED,	  /* an answer that cannot be decoded */
 };
 
-/* The word for logs. */
+/* Returns the outcome's name for logs (a static string). */
 const char *sto_outcome_name(enum sto_outcome o);
 
 struct sto_item {
 	char *key;
-	char *value; /* NULL: the key was deleted */
+	char *value; /* NULL: the key was deleted (WATCH) */
 	size_t len;
-	int64_t revision;
+	int64_t revision; /* version of the key */
 };
 
 struct sto_answer {
 	enum sto_outcome outcome;
-	int64_t asked_ms; /* our clock, before the call was sent */
-	int64_t era;	  /* of the store that answered; -1: no answer */
-	int64_t revision; /* version of the store, or that of the write */
+	int64_t asked_ms; /* monotonic time before the call was sent */
+	int64_t era;	  /* of the answer; -1: no answer */
+	int64_t revision; /* version of the store, or of the write */
 	int64_t lease;
 	int ttl_ms;
-	bool more; /* LIST: there are further pages */
+	bool more; /* LIST: further pages follow */
 	struct sto_item *items;
 	size_t nr_items;
-	const char *raw; /* WATCH: the body as it came, packed or not */
+	const char *raw; /* WATCH: the body as received, maybe compressed */
 	size_t raw_len;
 };
 
+/* Frees the items of an answer, but not `a` itself. */
 void sto_answer_free(struct sto_answer *a);
 
+/* The wire format of the store. */
 struct sto_codec {
-	/* Writes the whole HTTP request. */
+	/* Appends the whole HTTP request. */
 	void (*encode)(const struct sto_call *call, const char *host,
 		       struct buf *out);
-	/* The era that the head of an answer names; 0: it names none. */
+	/* Returns the era in the head of an answer; 0: none. */
 	int64_t (*era)(const struct hmsg *m);
-	/* Adds it to the head of an answer that is handed on. */
+	/* Appends the era to the head of an answer that is forwarded. */
 	void (*put_era)(int64_t era, struct buf *out);
-	/* Reads status and body into `out`, with its outcome. Revisions are
-	 * as the store has them. */
+	/*
+	 * Decodes status and body into `out` and sets its outcome. Revisions
+	 * are the store's, not versions.
+	 */
 	void (*decode)(enum sto_kind kind, int status, const char *body,
 		       size_t len, struct sto_answer *out);
 };
 
+/* Called once when a call ends; `a` is freed when it returns. */
 typedef void (*sto_done)(void *arg, struct sto_answer *a);
 
-/* For calls whose outcome a watch shows, or nothing depends on. */
+/* A sto_done for calls whose effect a watch reports, or that nothing needs. */
 void sto_ignore_answer(void *arg, struct sto_answer *a);
 
 struct sto;
 
 /*
- * The store was lost or is back, for the log: the outcome that showed it, and
- * whether the call went straight or through another entry.
+ * Called when the store becomes unreachable or reachable again: `why` is the
+ * name of the outcome that showed it, `direct` is false if that call was
+ * relayed, and `took_ms` is its duration.
  */
 typedef void (*sto_on_reachability)(void *arg, bool reachable, const char *why,
 				    bool direct, int64_t took_ms);
 
+/*
+ * Creates a client of the store at `addr` (copied). `loop`, `clk` and `codec`
+ * must outlive it. No call may be pending when it is freed.
+ */
 struct sto *sto_create(struct ev_loop *loop, const struct clk *clk,
 		       const struct sto_codec *codec,
 		       const struct sockaddr_in *addr, sto_on_reachability told,
 		       void *arg);
 void sto_free(struct sto *s);
 
-/* Calls; `done` is called once, never from within. The answer is freed
- * after it returns. */
+/*
+ * Starts a call. `done` is called exactly once, never before sto_call()
+ * returns. `call` is not kept.
+ */
 void sto_call(struct sto *s, const struct sto_call *call, sto_done done,
 	      void *arg);
 
+/* Number of independently followed sets of keys. */
+#define STO_LANES 3
+
 /*
- * Asks another entry for what its watch brought after a revision; it answers
- * within `wait_ms`, or counts as lost after `extra_ms` more. Keys that are
- * watched apart are followed on lanes of their own: 0 to STO_LANES - 1. What
- * `after` counts is between the entries: revisions, or versions.
+ * Requests from the entry at `to` the changes after `after` that its watch
+ * returned. It answers within `wait_ms`; after `extra_ms` more the call fails.
+ * Each separately watched set of keys has its own lane, 0 to STO_LANES - 1. The
+ * meaning of `after` is up to the two entries: a version of the store, or a
+ * version of the configuration.
  */
-#define STO_LANES 3
 void sto_follow(struct sto *s, unsigned lane, const struct sockaddr_in *to,
 		int64_t after, int wait_ms, int extra_ms, sto_done done,
 		void *arg);
 
-/* The path of that call, and reading what it asks. */
+/*
+ * Parses the URL of such a request. False if it is another one or is invalid;
+ * the outputs may then be partly set.
+ */
 bool sto_parse_follow(const char *url, unsigned *lane, int64_t *after,
 		      int *wait_ms);
 
-/* When the direct way last worked; 0: never. */
+/* Monotonic time of the last successful direct call in ms; 0: none. */
 int64_t sto_direct_success_ms(const struct sto *s);
 
 /*
- * The entry through which to call while the direct way is bad; NULL: none
- * is known. Asked at each call.
+ * Sets the function that returns the address of an entry that relays calls
+ * while direct ones fail, or NULL if none is known. It is called for each such
+ * call; the address is copied.
  */
 typedef const struct sockaddr_in *(*sto_choose_relay)(void *arg);
 void sto_set_relay(struct sto *s, sto_choose_relay detour, void *arg);
 
-/* True if the last call succeeded, by whatever way. */
+/* True if the last call that ended succeeded, direct or relayed. */
 bool sto_reachable(const struct sto *s);
 
-/* True if the direct way worked last. */
+/* True if the last direct call succeeded, or none has ended yet. */
 bool sto_direct_ok(const struct sto *s);
 
 /*
- * When the store last came back after no call had succeeded, by whatever way,
- * for longer than endpoints' entries need to lapse; 0: never. A store that
- * turns only this machine away is not away: calls through others succeed.
+ * Monotonic time in ms at which the store was last reachable again after an
+ * outage, in which no call, direct or relayed, succeeded for so long that
+ * endpoints' entries may have expired; 0: never. A store that refuses only this
+ * machine is no outage: relayed calls succeed.
  */
 int64_t sto_recovered_ms(const struct sto *s);
 
-/* How a call ended, for the log. */
+/* Describes a call that ended, for logs and metrics. */
 struct sto_trace {
 	enum sto_kind kind;
 	enum sto_outcome outcome;
-	bool direct;	/* straight to the store, not through another entry */
-	bool following; /* asked of the entry whose watch is followed */
+	bool direct;	/* sent to the store itself */
+	bool following; /* sto_follow() */
 	int64_t took_ms;
-	int64_t late_ms; /* beyond the time that it was asked to wait */
-	size_t bytes;	 /* of the body, as far as it came */
+	int64_t late_ms; /* took_ms without the wait of a watch */
+	size_t bytes;	 /* of the body, as far as it was received */
 };
 
 typedef void (*sto_on_trace)(void *arg, const struct sto_trace *t);
 
 /*
- * The store came back from an older copy: `to` is its era now. Told before the
- * `done` of the call that showed it. Answers of an earlier era that come later
- * are STO_UNKNOWN, and conditions on a version of one do not hold.
+ * Called when the store was restored from an older copy: its era was `from` and
+ * is `to`. It is called before the `done` of the call that showed it. Later
+ * answers of an earlier era become STO_UNKNOWN, and conditions on a version of
+ * an earlier era do not hold (STO_CONFLICT).
  */
 typedef void (*sto_on_restore)(void *arg, int64_t from, int64_t to);
 void sto_set_on_restore(struct sto *s, sto_on_restore returned, void *arg);
 
-/* The era as it is known; 0: no answer named one. */
+/* Returns the latest known era of the store; 0: no answer had one. */
 int64_t sto_era(const struct sto *s);
 
-/* Another entry knows of this era. */
+/* Reports an era that another entry knows; ignored if it is not higher. */
 void sto_learn_era(struct sto *s, int64_t era);
 
-/* Each call that ends is told, before its `done`. */
+/* Sets the function that is called for each call that ends, before `done`. */
 void sto_set_trace(struct sto *s, sto_on_trace traced, void *arg);
 
-/* The word for logs. */
+/* Returns the kind's name for logs (a static string). */
 const char *sto_kind_name(enum sto_kind k);
 
 /*
- * Hands on a request that another entry could not send itself, as it is.
- * `done` gets status and body; status 0: no answer, and whether it was sent.
+ * Result of a relayed request: HTTP status, era and body (valid during the
+ * call) of the answer. `status` 0: no answer; `sent` tells whether the request
+ * may have been sent.
  */
 typedef void (*sto_relayed)(void *arg, int status, int64_t era,
 			    const char *body, size_t len, bool sent);
+
+/*
+ * Sends a request of another entry, which cannot reach the store, unchanged to
+ * the store. Takes the contents of `wire`. `done` is called once; it is called
+ * from within if the request cannot be started.
+ */
 void sto_relay(struct sto *s, struct buf *wire, sto_relayed done, void *arg);
 
 #endif
