--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "edge/edge_internal.h"
-#include "member/advertise.h"
+#include "member/named.h"
 
 /*
  * Entries that are told all counts beside the holder of the duties: what a
@@ -130,7 +130,7 @@
 	if (!r->n)
 		return all_registered(en, out, max);
 	rank_interleave_zones(r);
-	named = advertise_count(load_of_all(en, now), r->n);
+	named = named_count(load_of_all(en, now), r->n);
 	/* Of more than fit into an answer each answer has others. */
 	first = named > max ? rnd_below(&en->rnd, (uint32_t)named) : 0;
 	for (n = 0; n < named && n < max; n++)
--- a/lib/store/sto.h
+++ b/lib/store/sto.h
@@ -145,8 +145,8 @@
  */
 struct sto *sto_create(struct ev_loop *loop, const struct clk *clk,
 		       const struct sto_codec *codec,
-		       const struct sockaddr_in *addr, sto_on_reachability told,
-		       void *arg);
+		       const struct sockaddr_in *addr,
+		       sto_on_reachability on_reachability, void *arg);
 void sto_free(struct sto *s);
 
 /*
--- a/tests/test_mir.c
+++ b/tests/test_mir.c
@@ -1,5 +1,8 @@
-/* The mirror of the store under seeded schedules: pages that are no snapshot,
- * lost calls, lost history; in the end it holds what the store holds. */
+/*
+ * The mirror of the store under seeded random schedules, with pages that are no
+ * snapshot, failed calls and lost history: in the end it must hold what the
+ * store holds. Also the feed of changes for followers.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,9 +16,9 @@
 #define HISTORY 400
 #define PAGE 4
 
-/* A store: what stands, and what happened. */
+/* A simulated store: its keys and their history. */
 struct store {
-	int64_t rev[KEYS]; /* 0: not there */
+	int64_t rev[KEYS]; /* 0: absent */
 	int64_t revision;
 	struct {
 		int key;
@@ -23,12 +26,12 @@
 		bool gone;
 	} log[HISTORY];
 	size_t nr_log;
-	int64_t forgotten; /* history up to here is lost */
+	int64_t compacted; /* history up to this revision is lost */
 };
 
 struct view {
 	int64_t rev[KEYS];
-	unsigned doubled; /* told what was known */
+	unsigned repeated; /* writes that were reported before */
 };
 
 static int key_of(const char *key)
@@ -44,7 +47,7 @@
 
 	(void)value;
 	(void)len;
-	v->doubled += revision <= v->rev[k];
+	v->repeated += revision <= v->rev[k];
 	v->rev[k] = revision;
 }
 
@@ -95,7 +98,7 @@
 	bool any = false;
 	size_t i;
 
-	if (m->revision < s->forgotten) {
+	if (m->revision < s->compacted) {
 		mir_history_lost(m, now);
 		return;
 	}
@@ -110,7 +113,7 @@
 	mir_watch_end(m, any, s->revision, now);
 }
 
-static bool play(uint64_t seed)
+static bool run_schedule(uint64_t seed)
 {
 	struct store s;
 	struct view v;
@@ -125,44 +128,44 @@
 	rnd_seed(&rnd, seed);
 	mir_init(&m, &vtable, &v);
 	for (step = 0; step < 400; step++) {
-		const bool calm = step > 340;
+		const bool converging = step > 340;
 		enum mir_call call;
 
 		now += 1 + rnd_below(&rnd, 300);
-		if (!calm && rnd_below(&rnd, 2))
+		if (!converging && rnd_below(&rnd, 2))
 			change(&s, &rnd);
-		if (!calm && !rnd_below(&rnd, 20))
-			s.forgotten = s.revision;
+		if (!converging && !rnd_below(&rnd, 20))
+			s.compacted = s.revision;
 		call = mir_next(&m, now);
 		if (call == MIR_NONE)
 			continue;
-		if (!calm && !rnd_below(&rnd, 5))
+		if (!converging && !rnd_below(&rnd, 5))
 			mir_failed(&m, now);
 		else if (call == MIR_LIST)
 			answer_list(&m, &s, now);
 		else
 			answer_watch(&m, &s, now);
 	}
-	same = !memcmp(s.rev, v.rev, sizeof(s.rev)) && !v.doubled;
+	same = !memcmp(s.rev, v.rev, sizeof(s.rev)) && !v.repeated;
 	mir_free(&m);
 	return same;
 }
 
-static void schedules_end_with_the_store(void)
+static void schedules_converge_to_the_store(void)
 {
 	uint64_t seed;
 	unsigned wrong = 0;
 
 	for (seed = 1; seed <= unit_seeds(2000); seed++)
-		wrong += !play(seed) + !play(unit_seed(seed));
+		wrong += !run_schedule(seed) + !run_schedule(unit_seed(seed));
 	unit_report("mirror of the store", 2 * unit_seeds(2000), wrong);
 	CU_ASSERT_EQUAL(wrong, 0);
 }
 
 /*
- * Symptom: an endpoint that had left stayed in use. Sequence: a key on the
- * first page is deleted while the second page is read; the watch began after
- * the last page. Cause: the watch must begin at the first page's revision.
+ * Guards against an endpoint that has left but stays in use: its key is on the
+ * first page and is deleted while the second page is read. A watch from the
+ * last page's revision misses that, so it must begin at the first page's.
  */
 static void watch_begins_at_the_first_page(void)
 {
@@ -184,7 +187,7 @@
 	mir_free(&m);
 }
 
-static void failures_wait_longer_and_bounded(void)
+static void backoff_grows_and_is_bounded(void)
 {
 	struct view v;
 	struct mir m;
@@ -203,123 +206,122 @@
 	mir_free(&m);
 }
 
-/* ---- Passing changes on ---- */
+/* ---- The feed for followers ---- */
 
 static void followers_get_all_changes_or_none(void)
 {
-	const struct feed_batch *part;
+	const struct feed_batch *batch;
 	struct feed f;
 	int64_t rev;
 	int i;
 
 	feed_init(&f);
-	CU_ASSERT_EQUAL(feed_after(&f, 0, &part), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 0, &batch), FEED_GAP);
 	feed_add(&f, 10, 12, true, "a", 1);
 	feed_add(&f, 12, 12, false, "", 0);
 	feed_add(&f, 12, 15, true, "b", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 9, &part), FEED_GAP);
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_CHANGES);
-	CU_ASSERT_STRING_EQUAL(part->body.data, "a");
-	CU_ASSERT_EQUAL(feed_after(&f, 11, &part), FEED_CHANGES);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_CHANGES);
-	CU_ASSERT_STRING_EQUAL(part->body.data, "b");
-	CU_ASSERT_EQUAL(feed_after(&f, 15, &part), FEED_UNCHANGED);
-	CU_ASSERT_EQUAL(feed_after(&f, 20, &part), FEED_UNCHANGED);
-	/* The ring turns: what fell out is a gap, never skipped. */
+	CU_ASSERT_EQUAL(feed_after(&f, 9, &batch), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &batch), FEED_CHANGES);
+	CU_ASSERT_STRING_EQUAL(batch->body.data, "a");
+	CU_ASSERT_EQUAL(feed_after(&f, 11, &batch), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &batch), FEED_CHANGES);
+	CU_ASSERT_STRING_EQUAL(batch->body.data, "b");
+	CU_ASSERT_EQUAL(feed_after(&f, 15, &batch), FEED_UNCHANGED);
+	CU_ASSERT_EQUAL(feed_after(&f, 20, &batch), FEED_UNCHANGED);
+	/* The ring is full: batches that were overwritten are a gap. */
 	for (i = 0; i < FEED_MAX_BATCHES; i++)
 		feed_add(&f, 15 + i, 16 + i, true, "c", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &batch), FEED_GAP);
 	for (rev = 15; rev < 15 + FEED_MAX_BATCHES; rev++) {
-		CU_ASSERT_EQUAL(feed_after(&f, rev, &part), FEED_CHANGES);
-		CU_ASSERT(part->from <= rev && part->to == rev + 1);
+		CU_ASSERT_EQUAL(feed_after(&f, rev, &batch), FEED_CHANGES);
+		CU_ASSERT(batch->from <= rev && batch->to == rev + 1);
 	}
 	feed_free(&f);
 }
 
 /*
- * Symptom: an entry did not see a document for eight seconds. Sequence: it
- * followed an entry that had itself begun to follow another one; that one's
- * feed stood still, which read as "nothing new". Cause: a feed that is not
- * fed any more must not answer.
+ * Guards against an entry that misses a document for eight seconds: it followed
+ * an entry that had itself begun to follow another one, so that its feed got no
+ * more changes, which read as "unchanged". A feed without a watch must report a
+ * gap.
  */
-static void feed_that_stands_still_is_a_gap(void)
+static void feed_without_watch_is_a_gap(void)
 {
-	const struct feed_batch *part;
+	const struct feed_batch *batch;
 	struct feed f;
 
 	feed_init(&f);
 	feed_add(&f, 10, 12, true, "a", 1);
 	feed_clear(&f);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
-	/* Fed again later: what lies between is not known here. */
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &batch), FEED_GAP);
+	/* Watched again later: the revisions in between are a gap. */
 	feed_add(&f, 30, 31, true, "b", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
-	CU_ASSERT_EQUAL(feed_after(&f, 30, &part), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &batch), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 30, &batch), FEED_CHANGES);
 	feed_free(&f);
 }
 
 /*
- * Symptom: of 83 entries each asked the store every two seconds beside the
- * entry that it followed; 1,300 calls more in a minute.
- * Sequence: a change of a watched key; changes of other keys, by which the
- * store's revision rises; one of a watched key again. A follower that had the
- * first one was told that what it lacks is not known here.
- * Cause: a part was taken to begin where the last empty answer ended.
+ * Guards against calls to the store every two seconds by each of 83 followers,
+ * 1,300 more per minute. A watched key changes, then keys that are not watched,
+ * by which the store's revision rises, then a watched key again. When a batch
+ * was taken to begin where the last empty answer ended, a follower that had the
+ * first change got a gap.
  */
-static void other_keys_make_no_gap(void)
+static void changes_of_other_keys_are_no_gap(void)
 {
-	const struct feed_batch *part;
+	const struct feed_batch *batch;
 	struct feed f;
 
 	feed_init(&f);
 	feed_add(&f, 10, 14, false, "", 0);
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_UNCHANGED);
-	CU_ASSERT_EQUAL(feed_after(&f, 9, &part), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &batch), FEED_UNCHANGED);
+	CU_ASSERT_EQUAL(feed_after(&f, 9, &batch), FEED_GAP);
 	feed_add(&f, 14, 20, true, "a", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &batch), FEED_CHANGES);
 	feed_add(&f, 20, 30, false, "", 0);
 	feed_add(&f, 30, 33, true, "b", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 20, &part), FEED_CHANGES);
-	CU_ASSERT_EQUAL(part->to, 33);
-	CU_ASSERT_EQUAL(feed_after(&f, 25, &part), FEED_CHANGES);
-	CU_ASSERT_EQUAL(feed_after(&f, 33, &part), FEED_UNCHANGED);
-	CU_ASSERT_EQUAL(feed_after(&f, 9, &part), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 20, &batch), FEED_CHANGES);
+	CU_ASSERT_EQUAL(batch->to, 33);
+	CU_ASSERT_EQUAL(feed_after(&f, 25, &batch), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 33, &batch), FEED_UNCHANGED);
+	CU_ASSERT_EQUAL(feed_after(&f, 9, &batch), FEED_GAP);
 	feed_free(&f);
 }
 
 /*
- * Symptom: a large configuration was in force late at entries with narrow
- * links. Sequence: it came by the watch of one entry, which sent it to each
- * of its followers. Cause: what is large must come from the store itself.
+ * Guards against a large configuration that arrives late at entries on slow
+ * links, because the watcher had to send it to each of its followers. Large
+ * changes must be read from the store.
  */
-static void large_changes_are_not_passed_on(void)
+static void large_changes_are_not_fed(void)
 {
 	static char large[FEED_MAX_BYTES + 1];
-	const struct feed_batch *part;
+	const struct feed_batch *batch;
 	struct feed f;
 
 	memset(large, 'x', sizeof(large));
 	feed_init(&f);
 	feed_add(&f, 10, 12, true, "a", 1);
 	feed_add(&f, 12, 14, true, large, sizeof(large));
-	CU_ASSERT_EQUAL(feed_after(&f, 10, &part), FEED_GAP);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
-	/* Who has read it from the store follows again. */
-	CU_ASSERT_EQUAL(feed_after(&f, 14, &part), FEED_UNCHANGED);
+	CU_ASSERT_EQUAL(feed_after(&f, 10, &batch), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &batch), FEED_GAP);
+	/* A follower that has read it from the store follows again. */
+	CU_ASSERT_EQUAL(feed_after(&f, 14, &batch), FEED_UNCHANGED);
 	feed_add(&f, 14, 15, true, "b", 1);
-	CU_ASSERT_EQUAL(feed_after(&f, 14, &part), FEED_CHANGES);
-	CU_ASSERT_EQUAL(feed_after(&f, 12, &part), FEED_GAP);
+	CU_ASSERT_EQUAL(feed_after(&f, 14, &batch), FEED_CHANGES);
+	CU_ASSERT_EQUAL(feed_after(&f, 12, &batch), FEED_GAP);
 	feed_free(&f);
 }
 
 /*
- * Symptom: all followers of one entry learn late that an endpoint leaves.
- * Sequence: its watch is held up, and it answers them "nothing new" meanwhile.
- * Cause: it relied on other calls of its own that succeeded. A leaving that is
- * written when the watch stops must be known to followers within two seconds:
- * they are turned away in time to ask the store itself.
+ * Guards against followers that learn late that an endpoint is draining: the
+ * watch of their watcher was stalled, but it answered "unchanged" because other
+ * calls of its own to the store succeeded. If an endpoint's drain is written
+ * when the watch stalls, followers must know it within two seconds, so they
+ * must be refused early enough to read from the store themselves.
  */
-static void a_feed_that_is_held_up_leads_nobody(void)
+static void feed_of_stalled_watch_is_not_current(void)
 {
 	const int64_t answered = 5000;
 	const int wait_ms = 667; /* a third of two seconds */
@@ -329,19 +331,19 @@
 	while (feed_is_current(answered, wait_ms, now))
 		now += tick_ms;
 	CU_ASSERT(now + ask_ms - answered < 2000);
-	/* In its usual pace it is relied on. */
+	/* At the usual pace of the watch it is current. */
 	CU_ASSERT(feed_is_current(answered, wait_ms,
 				  answered + MIR_PACE_MS + wait_ms + 200));
 	CU_ASSERT_FALSE(feed_is_current(0, wait_ms, 100));
 }
 
 /*
- * Symptom: 295 entries that started together made 16 calls to the store each.
- * Sequence: each registers, and watches who else does; the store answers each
- * of them for every few registrations. Cause: an entry that has heard of
- * nobody yet took itself for one of those that watch for the others.
+ * Guards against 16 calls to the store by each of 295 entries that start
+ * together: each registers and watches for the others, and its watch returns
+ * for every few registrations, because an entry that has not yet received a
+ * datagram takes itself for a watcher.
  */
-static void entries_that_start_together_meet_first(void)
+static void entries_wait_for_registrations_at_start(void)
 {
 	struct feed_startup s = { .known_entries = 294, .entry_keys = true };
 
@@ -357,7 +359,7 @@
 	CU_ASSERT(feed_may_watch(&s));
 	s.has_watched = true;
 	CU_ASSERT(feed_may_watch(&s));
-	/* Alone, it has nobody to wait for; at the very first start it has. */
+	/* Alone, it does not wait, except at the first start of the system. */
 	s = (struct feed_startup){ .entry_keys = true };
 	CU_ASSERT(feed_may_watch(&s));
 	s.first_start = true;
@@ -373,21 +375,22 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "large changes are not passed on", large_changes_are_not_passed_on },
+	{ "large changes are not fed", large_changes_are_not_fed },
 	{ "followers get all changes or none",
 	  followers_get_all_changes_or_none },
-	{ "a feed that stands still is a gap",
-	  feed_that_stands_still_is_a_gap },
-	{ "other keys make no gap", other_keys_make_no_gap },
-	{ "a feed that is held up leads nobody",
-	  a_feed_that_is_held_up_leads_nobody },
-	{ "entries that start together meet first",
-	  entries_that_start_together_meet_first },
+	{ "a feed without a watch is a gap", feed_without_watch_is_a_gap },
+	{ "changes of other keys are no gap",
+	  changes_of_other_keys_are_no_gap },
+	{ "a feed of a stalled watch is not current",
+	  feed_of_stalled_watch_is_not_current },
+	{ "entries wait for registrations at start",
+	  entries_wait_for_registrations_at_start },
 	{ "watchers are few", watchers_are_few },
-	{ "schedules end with the store", schedules_end_with_the_store },
+	{ "random schedules converge to the store",
+	  schedules_converge_to_the_store },
 	{ "the watch begins at the first page",
 	  watch_begins_at_the_first_page },
-	{ "failures wait longer, bounded", failures_wait_longer_and_bounded },
+	{ "backoff grows and is bounded", backoff_grows_and_is_bounded },
 };
 
 UNIT_MAIN("mir", tests)
