--- a/lib/store/sto.h
+++ b/lib/store/sto.h
@@ -164,7 +164,7 @@
  * returned. It answers within `wait_ms`; after `extra_ms` more the call fails.
  * Each separately watched set of keys has its own lane, 0 to STO_LANES - 1. The
  * meaning of `after` is up to the two entries: a version of the store, or a
- * version of the configuration.
+ * version of the configuration. `done` is called as for sto_call().
  */
 void sto_follow(struct sto *s, unsigned lane, const struct sockaddr_in *to,
 		int64_t after, int wait_ms, int extra_ms, sto_done done,
@@ -186,7 +186,7 @@
  * call; the address is copied.
  */
 typedef const struct sockaddr_in *(*sto_choose_relay)(void *arg);
-void sto_set_relay(struct sto *s, sto_choose_relay detour, void *arg);
+void sto_set_relay(struct sto *s, sto_choose_relay choose_relay, void *arg);
 
 /* True if the last call that ended succeeded, direct or relayed. */
 bool sto_reachable(const struct sto *s);
@@ -222,7 +222,7 @@
  * an earlier era do not hold (STO_CONFLICT).
  */
 typedef void (*sto_on_restore)(void *arg, int64_t from, int64_t to);
-void sto_set_on_restore(struct sto *s, sto_on_restore returned, void *arg);
+void sto_set_on_restore(struct sto *s, sto_on_restore on_restore, void *arg);
 
 /* Returns the latest known era of the store; 0: no answer had one. */
 int64_t sto_era(const struct sto *s);
@@ -231,7 +231,7 @@
 void sto_learn_era(struct sto *s, int64_t era);
 
 /* Sets the function that is called for each call that ends, before `done`. */
-void sto_set_trace(struct sto *s, sto_on_trace traced, void *arg);
+void sto_set_trace(struct sto *s, sto_on_trace on_trace, void *arg);
 
 /* Returns the kind's name for logs (a static string). */
 const char *sto_kind_name(enum sto_kind k);
--- a/scripts/older_copy_test.sh
+++ b/scripts/older_copy_test.sh
@@ -1,19 +1,21 @@
 #!/bin/bash
-# The store comes back from an older copy, as real processes on a stand-in of
+# The store is restored from an older copy, with real processes on a stand-in of
 # the platform. Order and counts are asserted, never times.
 #
-# Symptom: after the store had come back entries stood on what it had said
-# before: endpoints written anew were not used, an entry that had just started
+# Guards against entries that rely on what the store had said before a restore:
+# endpoints written after it were not used, an entry that had just started
 # served a version that was no longer in force, two holders acted under one
-# generation number, a window was reported twice with other counts.
-# Sequence: a copy is made; a version, an endpoint, entries, duties and reports
-# come after it; the store is away for a moment and comes back from the copy.
-# Revisions are given out again, and what operators and endpoints had written
-# is written again a little later.
-# Cause: "a higher revision is newer" and "what was acknowledged is kept". With
-# the era in each comparison, and doubt for as long as it takes others to write
-# again, none of it is seen; compared by revisions alone the generation number
-# goes back in this test.
+# generation number (the fencing token of the duties), and a usage window was
+# reported twice with different counts.
+#
+# How it comes about: a copy is made; a version, an endpoint, entries, duties
+# and reports are written after it; the store is down for a moment and is
+# restored from the copy. Revisions are used again, and operators and endpoints
+# write their changes again a little later. "A higher revision is newer" and "an
+# acknowledged write is kept" then no longer hold. With the store's era in each
+# comparison, and with nothing taken as certain until others have had time to
+# write again, none of this happens; compared by revisions alone the generation
+# number goes back in this test.
 cd "$(dirname "$0")/.." || exit 1
 EDGES=${EDGES:-5}
 EDGE_SERVICES_EACH=4
@@ -42,15 +44,16 @@
 
 reports_at_least() { [ "$(seen usage)" -ge "$1" ]; }
 
-# never_back N: the versions in force at an entry only rise.
-never_back() {
+# versions_rise N: the versions in force at entry N never decrease.
+versions_rise() {
 	grep -ho '"event":"config_in_force","config":[0-9]*' \
 		"$DIR/edge-$1.out" | sed 's/.*://' >"$DIR/versions"
 	sort -cn "$DIR/versions"
 }
 
-# beside: calls at entries that are not killed, until DIR/stop is there.
-beside() {
+# background_load: sends requests to entries that are not killed, until DIR/stop
+# exists, and writes their status codes to DIR/beside.
+background_load() {
 	local i=0
 	while [ ! -e "$DIR/stop" ]; do
 		i=$((i + 1))
@@ -65,76 +68,77 @@
 start_edges || exit 1
 put_document 2 '"k1","k2"'
 expect "a version is in force" wait_for everywhere in_force 2
-beside &
-expect "a holder reports" wait_for reports_at_least 1
+background_load &
+expect "a duty holder reports usage" wait_for reports_at_least 1
 
 platform_test copy >/dev/null
 put_document 3 '"k2"'
-expect "a key is taken away" wait_for everywhere in_force 3
+expect "an API key is revoked" wait_for everywhere in_force 3
 platform_test add >/dev/null
 ADDED=i-$((2 * EDGE_SERVICES_EACH + 1))
 expect "an endpoint starts" wait_for everywhere knows_endpoint "$ADDED" new
 platform_test 'drain?id=i-2' >/dev/null
-expect "another one leaves" wait_for everywhere knows_endpoint i-2 draining
+expect "another endpoint drains" wait_for everywhere knows_endpoint i-2 draining
 platform_test 'unlist?id=i-2' >/dev/null
-expect "and is off the list" wait_for everywhere knows_endpoint i-2 gone
-# The holder of the duties changes, and with it the generation.
+expect "and is unlisted" wait_for everywhere knows_endpoint i-2 gone
+# The duty holder changes, and with it the generation number.
 kill -9 "$(pid_of edge-1)"
 BEFORE=$(seen usage)
-expect "another one holds the duties and reports" \
+expect "another entry becomes duty holder and reports" \
 	wait_for reports_at_least $((BEFORE + 2))
 start_edge 1 false
-expect "all are registered" wait_for registered_all
+expect "all entries are registered" wait_for registered_all
 
 BEFORE=$(seen to_leaving)
 platform_test 'return?ms=400' >/dev/null
 start_edge 6 false
-expect "all know that the store came back from a copy" \
+expect "all entries know that the store was restored" \
 	wait_for everywhere era_known 2
-expect "all are registered again" wait_for registered_all
-expect "somebody holds the duties" wait_for holder_is_known
-expect "the key that was taken away stays so" eval \
+expect "all entries are registered again" wait_for registered_all
+expect "there is a duty holder" wait_for holder_is_known
+expect "the revoked API key stays revoked" eval \
 	'for n in 1 2 3 4 5; do KEY=k1 request $n "taken-$n" /l/x; echo; done |
 		grep -v 401 | grep -v 503 | wc -l | grep -qx 0'
 EDGES=6
 expect "the newest version is in force everywhere" wait_for everywhere in_force 3
 never() { ! in_force "$@"; }
-expect "an entry that started meanwhile had no older one" never 6 2
+expect "an entry that started meanwhile had no older version" never 6 2
 KEY=k2
 for i in $(seq 1 60); do request $((i % 5 + 1)) "again-$i" /u/x >/dev/null; done
-expect "an endpoint that left gets no new work" is "$(seen to_leaving)" "$BEFORE"
+expect "a drained endpoint gets no new requests" is "$(seen to_leaving)" "$BEFORE"
 for i in 4 6 8; do platform_test "drain?id=i-$i" >/dev/null; done
 for i in 4 6 8; do wait_for everywhere knows_endpoint i-$i draining; done
-expect "one that is listed again is used, alone" \
+expect "an endpoint that is listed again is used, alone" \
 	is "$(request 2 alone-1 /u/x)" 200
-expect "callers beside it were served" is "$(grep -vc '^200$' "$DIR/beside")" 0
+expect "the background requests were served" is "$(grep -vc '^200$' "$DIR/beside")" 0
 
-# Twice more while all are at it. Nobody can say whether a key was taken away in
-# what the store lost, so callers may be told to come back, and nothing else.
+# Two more restores under load. An entry cannot know whether the store has lost
+# the revocation of an API key, so requests may be refused with 503, but must
+# not fail otherwise.
 platform_test copy >/dev/null
 sleep 0.5
 platform_test 'return?ms=300' >/dev/null
 sleep 0.6
 platform_test 'return?ms=300' >/dev/null
-expect "a second and a third return are known" wait_for everywhere era_known 4
-expect "all are registered once more" wait_for registered_all
+expect "a second and a third restore are known" wait_for everywhere era_known 4
+expect "all entries are registered once more" wait_for registered_all
 BEFORE=$(seen usage)
-expect "and windows are reported on" wait_for reports_at_least $((BEFORE + 3))
+expect "and further usage windows are reported" wait_for reports_at_least $((BEFORE + 3))
 put_document 5 '"k2","k5"'
-expect "a next version is in force" wait_for everywhere in_force 5
-# The second return comes before operators have written again.
+expect "the next version is in force" wait_for everywhere in_force 5
+# The second restore comes before operators have written their changes again.
 platform_test copy >/dev/null
 put_document 7 '"k2","k5"'
 platform_test 'return?ms=0' >/dev/null
 platform_test 'return?ms=0' >/dev/null
 expect "a version lost twice is written again" wait_for store_has_version 7
-expect "and in force" wait_for everywhere in_force 7
-expect "versions never go back" everywhere never_back
-expect "no generation went back" is "$(seen wrong_fence)" 0
-expect "no window was reported in two ways" is "$(seen usage_twice)" 0
+expect "and is in force" wait_for everywhere in_force 7
+expect "versions never decrease" everywhere versions_rise
+expect "no generation number decreased" is "$(seen wrong_fence)" 0
+expect "no usage window was reported with two contents" is "$(seen usage_twice)" 0
 : >"$DIR/stop"
 sleep 0.5
-expect "callers were served, or told that they were not run" \
+expect "background requests were served, or refused as not run" \
 	is "$(grep -vcE '^(200|503)$' "$DIR/beside")" 0
 
 echo "older_copy_test: $PASSED passed, $FAILED failed"
