--- a/lib/store/sto.c
+++ b/lib/store/sto.c
@@ -29,7 +29,10 @@
  */
 #define ANSWER_MS 12000
 
-/* Additional time in ms for a relayed call, which may be a waiting watch. */
+/*
+ * Additional ms for a call that this entry relays for another one: it may be a
+ * waiting watch.
+ */
 #define RELAY_WAIT_MS 2000
 
 /*
--- a/tests/test_mir.c
+++ b/tests/test_mir.c
@@ -23,7 +23,7 @@
 	struct {
 		int key;
 		int64_t rev;
-		bool gone;
+		bool deleted;
 	} log[HISTORY];
 	size_t nr_log;
 	int64_t compacted; /* history up to this revision is lost */
@@ -51,7 +51,7 @@
 	v->rev[k] = revision;
 }
 
-static void on_gone(void *arg, const char *key, int64_t revision)
+static void on_deleted(void *arg, const char *key, int64_t revision)
 {
 	struct view *v = arg;
 
@@ -59,20 +59,20 @@
 	v->rev[key_of(key)] = 0;
 }
 
-static const struct mir_vtable vtable = { on_put, on_gone };
+static const struct mir_vtable vtable = { on_put, on_deleted };
 
 static void change(struct store *s, struct rnd *rnd)
 {
 	const int k = (int)rnd_below(rnd, KEYS);
-	const bool gone = s->rev[k] && !rnd_below(rnd, 3);
+	const bool deleted = s->rev[k] && !rnd_below(rnd, 3);
 
 	if (s->nr_log == HISTORY)
 		return;
 	s->revision++;
-	s->rev[k] = gone ? 0 : s->revision;
+	s->rev[k] = deleted ? 0 : s->revision;
 	s->log[s->nr_log].key = k;
 	s->log[s->nr_log].rev = s->revision;
-	s->log[s->nr_log++].gone = gone;
+	s->log[s->nr_log++].deleted = deleted;
 }
 
 static void answer_list(struct mir *m, struct store *s, int64_t now)
@@ -106,7 +106,7 @@
 		if (s->log[i].rev <= m->revision)
 			continue;
 		snprintf(key, sizeof(key), "k%02d", s->log[i].key);
-		mir_event(m, key, s->log[i].gone ? NULL : "v", 1,
+		mir_event(m, key, s->log[i].deleted ? NULL : "v", 1,
 			  s->log[i].rev);
 		any = true;
 	}
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -25,7 +25,10 @@
 #define FOLLOW_WAIT_MS 900
 #define FOLLOW_RETRY_MS 200
 
-/* A list, a watch for the other entries, and one more call of every second. */
+/*
+ * Store calls: a list and a watch for the other entries by each entry, and one
+ * more call by half of them.
+ */
 #define MAX_CALLS_PER_ENTRY 2.5
 
 enum pending_call {
@@ -39,7 +42,7 @@
 	struct mir mir;
 	struct feed feed;
 	char name[16];
-	int64_t start_ms, registered_rev; /* 0: not registered */
+	int64_t start_ms, registered_rev; /* revision; 0: not registered */
 	bool known[MAX_ENTRIES];
 	size_t known_entries;
 	int64_t received_ms[MAX_ENTRIES]; /* 0: never */
@@ -77,14 +80,14 @@
 	e->known_entries++;
 }
 
-static void on_gone(void *arg, const char *key, int64_t revision)
+static void on_deleted(void *arg, const char *key, int64_t revision)
 {
 	(void)arg;
 	(void)key;
 	(void)revision;
 }
 
-static const struct mir_vtable keys = { on_put, on_gone };
+static const struct mir_vtable keys = { on_put, on_deleted };
 
 /*
  * Delivers the registrations after a revision to entry `i`; returns their
