--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -216,7 +216,7 @@
 
 	struct lead lead;
 	struct carry plan; /* of the duty holder, as last read from the store */
-	char duty_holder[GSP_NAME]; /* name of the entry; "": none */
+	char duty_holder[GSP_NAME_SIZE]; /* name of the entry; "": none */
 	struct usage usage;
 	struct truth truth;
 	struct edge_duty *duty;
--- a/lib/edge/edge_peer_http.c
+++ b/lib/edge/edge_peer_http.c
@@ -117,8 +117,8 @@
 /* Answers with changes, with none after the wait, or with an error. */
 static void try_watch(struct edge_follower *f, int64_t now)
 {
-	const int64_t upto = f->watch->feed.upto;
-	const struct feed_part *part;
+	const int64_t upto = f->watch->feed.known_to;
+	const struct feed_batch *part;
 	char no_changes[64];
 
 	if (!edge_watch_is_current(f->watch, now)) {
@@ -139,10 +139,10 @@
 		/* The changes are not kept here: it asks the store once. */
 		answer_follower(f, 404, "", 0);
 		return;
-	case FEED_PART:
+	case FEED_CHANGES:
 		answer_follower(f, 200, part->body.data, part->body.len);
 		return;
-	case FEED_WAIT:
+	case FEED_UNCHANGED:
 		break;
 	}
 	if (now < f->until_ms)
@@ -211,7 +211,7 @@
 
 	met_set(en->m.lines_dropped, (long long)jlog_dropped(en->log));
 	met_set(en->m.endpoints, (long long)en->fleet.count);
-	met_set(en->m.entries, prs_sharing(&en->prs, edge_now(en)));
+	met_set(en->m.entries, prs_count_running(&en->prs, edge_now(en)));
 	met_set(en->m.list_age_ms, edge_list_age(en, edge_now(en)));
 	met_print(&en->met, &text);
 	hmsg_put_status(&out, 200);
@@ -233,7 +233,7 @@
 
 	if (!strcmp(url, "/metrics"))
 		serve_metrics(en, c);
-	else if (sto_is_follow(url, &lane, &after, &wait_ms))
+	else if (sto_parse_follow(url, &lane, &after, &wait_ms))
 		add_follower(en, c, lane, after, wait_ms);
 	else
 		relay(en, c);
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -97,9 +97,11 @@
 	if (!strcmp(info.name, en->conf->name))
 		return;
 	str_copy(info.zone, jsn_str(o, "zone", ""), sizeof(info.zone));
-	str_copy(info.callers, jsn_str(o, "callers", ""), sizeof(info.callers));
-	str_copy(info.peers, jsn_str(o, "peers", ""), sizeof(info.peers));
-	if (!prs_registered(&en->prs, &info, edge_now(en))) {
+	str_copy(info.client_address, jsn_str(o, "callers", ""),
+		 sizeof(info.client_address));
+	str_copy(info.peer_address, jsn_str(o, "peers", ""),
+		 sizeof(info.peer_address));
+	if (!prs_register(&en->prs, &info, edge_now(en))) {
 		edge_log_unreadable(en, key, "no address of the entry");
 		return;
 	}
@@ -171,7 +173,7 @@
 /* When endpoints' entries that the store lost began to be written again. */
 static int64_t store_back_ms(const struct edge *en)
 {
-	const int64_t back = sto_back_ms(en->store);
+	const int64_t back = sto_recovered_ms(en->store);
 
 	return back > en->era.detected_ms ? back : en->era.detected_ms;
 }
@@ -191,8 +193,7 @@
 				     e->grace_until_ms > now ? "lapsed"
 							     : "unlisted");
 	} else if (begins(key, EDGE_ENTRY_PREFIX)) {
-		prs_unregistered(&en->prs, key + strlen(EDGE_ENTRY_PREFIX),
-				 now);
+		prs_unregister(&en->prs, key + strlen(EDGE_ENTRY_PREFIX), now);
 	} else if (!strcmp(key, EDGE_ERA_KEY)) {
 		edge_era_record_deleted(en);
 	} else if (begins(key, EDGE_FATAL_PREFIX)) {
@@ -284,7 +285,7 @@
 {
 	en->store = sto_create(en->loop, en->clk, en->wire->store, addr,
 			       on_store, en);
-	sto_set_detour(en->store, detour, en);
+	sto_set_relay(en->store, detour, en);
 	sto_set_trace(en->store, on_traced, en);
 	edge_era_open(en);
 	edge_watch_open(en);
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -5,12 +5,15 @@
 #include <stddef.h>
 #include <string.h>
 
-/* The first word of a datagram: tells ours from strays, and the layout. */
+/*
+ * First word of a datagram: identifies the protocol and its layout, so that
+ * stray datagrams are dropped.
+ */
 #define GSP_MAGIC 0x6d64670d
 
 static bool_t xdr_name(XDR *x, char *name)
 {
-	return xdr_string(x, &name, GSP_NAME - 1);
+	return xdr_string(x, &name, GSP_NAME_SIZE - 1);
 }
 
 static bool_t xdr_i64(XDR *x, int64_t *v)
@@ -35,9 +38,9 @@
 	return xdr_uint32_t(x, &magic) && magic == GSP_MAGIC &&
 	       xdr_name(x, r->name) && xdr_uint64_t(x, &r->boot) &&
 	       xdr_uint32_t(x, &r->seq) && xdr_i64(x, &r->stamp_ms) &&
-	       xdr_i64(x, &r->true_ms) && xdr_flag(x, &r->taking) &&
+	       xdr_i64(x, &r->true_ms) && xdr_flag(x, &r->accepting) &&
 	       xdr_flag(x, &r->store_ok) && xdr_i64(x, &r->cfg_version) &&
-	       xdr_i64(x, &r->fresh_age_ms) &&
+	       xdr_i64(x, &r->cfg_confirmed_age_ms) &&
 	       xdr_double(x, &r->requests_per_s) &&
 	       xdr_flag(x, &r->with_counts) && xdr_uint64_t(x, &r->echo_boot) &&
 	       xdr_i64(x, &r->echo_stamp_ms) && xdr_i64(x, &r->echo_hold_ms);
@@ -47,7 +50,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_demands) || r->nr_demands > GSP_ACCOUNTS)
+	if (!xdr_u_int(x, &r->nr_demands) || r->nr_demands > GSP_MAX_DEMANDS)
 		return FALSE;
 	for (i = 0; i < r->nr_demands; i++) {
 		if (!xdr_name(x, r->demands[i].account) ||
@@ -61,7 +64,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_loads) || r->nr_loads > GSP_LOADS)
+	if (!xdr_u_int(x, &r->nr_loads) || r->nr_loads > GSP_MAX_LOADS)
 		return FALSE;
 	for (i = 0; i < r->nr_loads; i++) {
 		if (!xdr_uint64_t(x, &r->loads[i].endpoint) ||
@@ -72,8 +75,8 @@
 	return TRUE;
 }
 
-/* Learned figures travel as floats: more digits than they are good for. */
-static bool_t xdr_figure(XDR *x, double *v)
+/* Estimates are sent as floats: still more precise than they are accurate. */
+static bool_t xdr_estimate(XDR *x, double *v)
 {
 	float f = (float)*v;
 
@@ -83,12 +86,12 @@
 	return TRUE;
 }
 
-static bool_t xdr_figures(XDR *x, double *v, unsigned n)
+static bool_t xdr_estimates(XDR *x, double *v, unsigned n)
 {
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		if (!xdr_figure(x, &v[i]))
+		if (!xdr_estimate(x, &v[i]))
 			return FALSE;
 	}
 	return TRUE;
@@ -96,23 +99,24 @@
 
 static bool_t xdr_service(XDR *x, struct gsp_service *s)
 {
-	struct svc_told *t = &s->told;
-
-	return xdr_uint64_t(x, &t->service) && xdr_figure(x, &s->reads_per_s) &&
-	       xdr_figure(x, &t->samples) &&
-	       xdr_figures(x, t->first, SVC_FIRST_COEFS) &&
-	       xdr_figure(x, &t->first_off) &&
-	       xdr_figure(x, &t->pace_samples) &&
-	       xdr_figures(x, t->pace, SVC_PACE_COEFS) &&
-	       xdr_figure(x, &t->pace_off) && xdr_figure(x, &t->run_ms) &&
-	       xdr_figure(x, &t->run_seen);
+	struct svc_told *t = &s->estimates;
+
+	return xdr_uint64_t(x, &t->service) &&
+	       xdr_estimate(x, &s->prefill_tokens_per_s) &&
+	       xdr_estimate(x, &t->samples) &&
+	       xdr_estimates(x, t->first, SVC_FIRST_COEFS) &&
+	       xdr_estimate(x, &t->first_off) &&
+	       xdr_estimate(x, &t->pace_samples) &&
+	       xdr_estimates(x, t->pace, SVC_PACE_COEFS) &&
+	       xdr_estimate(x, &t->pace_off) && xdr_estimate(x, &t->run_ms) &&
+	       xdr_estimate(x, &t->run_seen);
 }
 
 static bool_t xdr_services(XDR *x, struct gsp_record *r)
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_services) || r->nr_services > GSP_SERVICES)
+	if (!xdr_u_int(x, &r->nr_services) || r->nr_services > GSP_MAX_SERVICES)
 		return FALSE;
 	for (i = 0; i < r->nr_services; i++) {
 		if (!xdr_service(x, &r->services[i]))
@@ -125,7 +129,7 @@
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_counts) || r->nr_counts > GSP_COUNTS)
+	if (!xdr_u_int(x, &r->nr_counts) || r->nr_counts > GSP_MAX_COUNTS)
 		return FALSE;
 	for (i = 0; i < r->nr_counts; i++) {
 		if (!xdr_uint64_t(x, &r->counts[i].source) ||
@@ -142,7 +146,7 @@
 	return xdr_uint64_t(x, &h->hi) && xdr_uint64_t(x, &h->lo);
 }
 
-static bool_t xdr_told(XDR *x, struct fatal_told *t)
+static bool_t xdr_fatal(XDR *x, struct fatal_told *t)
 {
 	unsigned i;
 
@@ -159,8 +163,8 @@
 	return TRUE;
 }
 
-/* Absent in releases that do not support store eras. */
-static bool_t xdr_tail(XDR *x, struct gsp_record *r)
+/* Absent in datagrams of releases without store eras. */
+static bool_t xdr_era_and_fatal(XDR *x, struct gsp_record *r)
 {
 	unsigned i;
 
@@ -169,7 +173,7 @@
 	if (!xdr_u_int(x, &r->nr_fatal) || r->nr_fatal > FATAL_MAX_TOLD)
 		return FALSE;
 	for (i = 0; i < r->nr_fatal; i++) {
-		if (!xdr_told(x, &r->fatal[i]))
+		if (!xdr_fatal(x, &r->fatal[i]))
 			return FALSE;
 	}
 	return TRUE;
@@ -185,19 +189,19 @@
 	       xdr_uint32_t(x, &t->row.late) && xdr_uint32_t(x, &t->row.broken);
 }
 
-/* Absent in releases without roll-outs. */
+/* Absent in datagrams of releases without roll-outs. */
 static bool_t xdr_rollouts(XDR *x, struct gsp_record *r)
 {
 	unsigned i;
 
-	if (!xdr_u_int(x, &r->nr_tallies) || r->nr_tallies > GSP_TALLIES)
+	if (!xdr_u_int(x, &r->nr_tallies) || r->nr_tallies > GSP_MAX_TALLIES)
 		return FALSE;
 	for (i = 0; i < r->nr_tallies; i++) {
 		if (!xdr_tally(x, &r->tallies[i]))
 			return FALSE;
 	}
 	if (!xdr_u_int(x, &r->nr_rolled_back) ||
-	    r->nr_rolled_back > GSP_ROLLED_BACK)
+	    r->nr_rolled_back > GSP_MAX_ROLLED_BACK)
 		return FALSE;
 	for (i = 0; i < r->nr_rolled_back; i++) {
 		if (!xdr_uint64_t(x, &r->rolled_back[i]))
@@ -240,17 +244,20 @@
 	size_t n = 0;
 
 	xdrmem_create(&x, out, (u_int)size, XDR_ENCODE);
-	/* XDR's one routine for both ways takes no const; it only reads. */
+	/* XDR uses one routine for both directions; encoding only reads. */
 	if (xdr_record(&x, (struct gsp_record *)r) &&
-	    xdr_tail(&x, (struct gsp_record *)r) &&
+	    xdr_era_and_fatal(&x, (struct gsp_record *)r) &&
 	    xdr_rollouts(&x, (struct gsp_record *)r))
 		n = xdr_getpos(&x);
 	xdr_destroy(&x);
 	return n;
 }
 
-/* A rate that is no number would make every sum with it none. */
-static bool rates_sound(const struct gsp_record *r)
+/*
+ * Receivers sum the rates of all entries: one NaN or infinity would make the
+ * whole sum useless.
+ */
+static bool rates_valid(const struct gsp_record *r)
 {
 	unsigned i;
 
@@ -259,8 +266,8 @@
 			return false;
 	}
 	for (i = 0; i < r->nr_services; i++) {
-		if (!isfinite(r->services[i].reads_per_s) ||
-		    r->services[i].reads_per_s < 0)
+		if (!isfinite(r->services[i].prefill_tokens_per_s) ||
+		    r->services[i].prefill_tokens_per_s < 0)
 			return false;
 	}
 	return isfinite(r->requests_per_s) && r->requests_per_s >= 0;
@@ -275,9 +282,9 @@
 	xdrmem_create(&x, (char *)in, (u_int)len, XDR_DECODE);
 	ok = xdr_record(&x, r);
 	if (ok && xdr_getpos(&x) < len)
-		ok = xdr_tail(&x, r);
+		ok = xdr_era_and_fatal(&x, r);
 	if (ok && xdr_getpos(&x) < len)
 		ok = xdr_rollouts(&x, r);
 	xdr_destroy(&x);
-	return ok && r->name[0] && rates_sound(r);
+	return ok && r->name[0] && rates_valid(r);
 }
--- a/lib/member/rank.c
+++ b/lib/member/rank.c
@@ -30,12 +30,12 @@
 	return x->weight < y->weight ? -1 : x->weight > y->weight;
 }
 
-static int by_turn(const void *a, const void *b)
+static int by_zone_rank(const void *a, const void *b)
 {
 	const struct rank_row *x = a, *y = b;
 
-	if (x->turn != y->turn)
-		return x->turn < y->turn ? -1 : 1;
+	if (x->zone_rank != y->zone_rank)
+		return x->zone_rank < y->zone_rank ? -1 : 1;
 	return by_weight(a, b);
 }
 
@@ -52,7 +52,10 @@
 	qsort(r->rows, r->n, sizeof(r->rows[0]), by_weight);
 }
 
-/* Puts row `i` among the sorted ones before it, of which `k` are kept. */
+/*
+ * Inserts row `i` into the sorted rows before it, of which the first `k` are
+ * kept sorted.
+ */
 static void insert(struct rank *r, size_t i, size_t k)
 {
 	const struct rank_row row = r->rows[i];
@@ -64,7 +67,7 @@
 	r->rows[at] = row;
 }
 
-void rank_first(struct rank *r, size_t k)
+void rank_select(struct rank *r, size_t k)
 {
 	size_t i;
 
@@ -76,7 +79,8 @@
 	}
 }
 
-const struct rank_row *rank_of_key(const struct rank *r, size_t n, uint64_t key)
+const struct rank_row *rank_for_key(const struct rank *r, size_t n,
+				    uint64_t key)
 {
 	const struct rank_row *best = &r->rows[0];
 	uint64_t most = hsh_rendezvous(key, best->weight), weight;
@@ -92,7 +96,7 @@
 	return best;
 }
 
-void rank_spread(struct rank *r)
+void rank_interleave_zones(struct rank *r)
 {
 	size_t i;
 
@@ -101,7 +105,7 @@
 		const bool same = i &&
 				  !strcmp(r->rows[i].zone, r->rows[i - 1].zone);
 
-		r->rows[i].turn = same ? r->rows[i - 1].turn + 1 : 0;
+		r->rows[i].zone_rank = same ? r->rows[i - 1].zone_rank + 1 : 0;
 	}
-	qsort(r->rows, r->n, sizeof(r->rows[0]), by_turn);
+	qsort(r->rows, r->n, sizeof(r->rows[0]), by_zone_rank);
 }
