--- a/lib/duty/lead.c
+++ b/lib/duty/lead.c
@@ -5,106 +5,109 @@
 void lead_init(struct lead *l, int64_t away_ms, int64_t now)
 {
 	memset(l, 0, sizeof(*l));
-	l->stay_away_ms = away_ms;
-	l->not_before_ms = now + (away_ms ? away_ms : LEAD_MEET_MS);
-	l->vacant_ms = l->not_before_ms;
+	l->holdoff_ms = away_ms;
+	l->not_before_ms = now + (away_ms ? away_ms : LEAD_FIRST_START_MS);
+	l->vacant_since_ms = l->not_before_ms;
 }
 
 static void step_down(struct lead *l, int64_t now)
 {
-	if (!l->mine)
+	if (!l->is_holder)
 		return;
-	l->mine = false;
+	l->is_holder = false;
 	l->fence = 0;
-	l->not_before_ms = now + l->stay_away_ms;
+	l->not_before_ms = now + l->holdoff_ms;
 }
 
-void lead_seen(struct lead *l, enum lead_whose whose, int64_t revision,
-	       int64_t now)
+void lead_on_key(struct lead *l, enum lead_owner whose, int64_t revision,
+		 int64_t now)
 {
-	if (l->mine && revision < l->fence)
+	if (l->is_holder && revision < l->fence)
 		return;
-	l->taken = true;
-	l->former = whose == LEAD_FORMER ? revision : 0;
-	if (whose != LEAD_MINE) {
+	l->key_exists = true;
+	l->previous_boot_revision = whose == LEAD_OWNER_PREVIOUS_BOOT ? revision
+								      : 0;
+	if (whose != LEAD_OWNER_SELF) {
 		step_down(l, now);
 		return;
 	}
-	if (l->mine && l->fence == revision)
+	if (l->is_holder && l->fence == revision)
 		return;
-	l->mine = true;
+	l->is_holder = true;
 	l->fence = revision;
-	l->since_ms = now;
+	l->held_since_ms = now;
 }
 
-void lead_vacant(struct lead *l, int64_t revision, int64_t now)
+void lead_on_key_deleted(struct lead *l, int64_t revision, int64_t now)
 {
-	if (l->mine && revision < l->fence)
+	if (l->is_holder && revision < l->fence)
 		return;
-	if (l->taken)
-		l->vacant_ms = now;
-	l->taken = false;
-	l->former = 0;
+	if (l->key_exists)
+		l->vacant_since_ms = now;
+	l->key_exists = false;
+	l->previous_boot_revision = 0;
 	step_down(l, now);
 }
 
 static int64_t turn_of(int place)
 {
-	return place < 0 ? LEAD_OTHERS_MS : (int64_t)place * LEAD_STEP_MS;
+	return place < 0 ? LEAD_UNRANKED_DELAY_MS
+			 : (int64_t)place * LEAD_RANK_DELAY_MS;
 }
 
 static bool due(const struct lead *l, int place, int64_t now)
 {
-	if (l->former)
-		return now >= l->former_ms;
-	return !l->taken && now >= l->not_before_ms &&
-	       now >= l->vacant_ms + turn_of(place);
+	if (l->previous_boot_revision)
+		return now >= l->takeover_not_before_ms;
+	return !l->key_exists && now >= l->not_before_ms &&
+	       now >= l->vacant_since_ms + turn_of(place);
 }
 
-bool lead_try(struct lead *l, int place, int64_t lease_until, int64_t now)
+bool lead_begin_acquire(struct lead *l, int place, int64_t lease_until,
+			int64_t now)
 {
-	if (l->trying || !due(l, place, now))
+	if (l->acquiring || !due(l, place, now))
 		return false;
 	if (now >= lease_until - LEAD_MARGIN_MS)
 		return false;
-	l->trying = true;
+	l->acquiring = true;
 	return true;
 }
 
-int64_t lead_expected(const struct lead *l)
+int64_t lead_expected_revision(const struct lead *l)
 {
-	return l->former;
+	return l->previous_boot_revision;
 }
 
-void lead_tried(struct lead *l, bool taken, int64_t revision, int64_t now)
+void lead_end_acquire(struct lead *l, bool taken, int64_t revision, int64_t now)
 {
-	l->trying = false;
-	l->former_ms = now + LEAD_AGAIN_MS;
+	l->acquiring = false;
+	l->takeover_not_before_ms = now + LEAD_RETRY_MS;
 	if (taken)
-		lead_seen(l, LEAD_MINE, revision, now);
-	else if (l->not_before_ms < now + LEAD_AGAIN_MS)
-		l->not_before_ms = now + LEAD_AGAIN_MS;
+		lead_on_key(l, LEAD_OWNER_SELF, revision, now);
+	else if (l->not_before_ms < now + LEAD_RETRY_MS)
+		l->not_before_ms = now + LEAD_RETRY_MS;
 }
 
-void lead_lost(struct lead *l, int64_t now)
+void lead_on_lease_lost(struct lead *l, int64_t now)
 {
 	step_down(l, now);
 }
 
-void lead_returned(struct lead *l, int64_t lease_ms, int64_t now)
+void lead_on_store_restored(struct lead *l, int64_t lease_ms, int64_t now)
 {
 	step_down(l, now);
-	l->taken = false;
-	l->former = 0;
-	l->vacant_ms = now;
-	l->quiet_ms = now + lease_ms;
-	if (l->not_before_ms < l->quiet_ms)
-		l->not_before_ms = l->quiet_ms;
+	l->key_exists = false;
+	l->previous_boot_revision = 0;
+	l->vacant_since_ms = now;
+	l->no_act_before_ms = now + lease_ms;
+	if (l->not_before_ms < l->no_act_before_ms)
+		l->not_before_ms = l->no_act_before_ms;
 }
 
 bool lead_may_act(const struct lead *l, int64_t lease_until, int64_t now)
 {
-	return l->mine && now >= l->quiet_ms &&
-	       now - l->since_ms >= LEAD_SETTLE_MS &&
+	return l->is_holder && now >= l->no_act_before_ms &&
+	       now - l->held_since_ms >= LEAD_SETTLE_MS &&
 	       now < lease_until - LEAD_MARGIN_MS;
 }
--- a/lib/duty/carry.c
+++ b/lib/duty/saved_plan.c
@@ -1,4 +1,4 @@
-#include "duty/carry.h"
+#include "duty/saved_plan.h"
 
 #include <math.h>
 #include <string.h>
@@ -11,7 +11,8 @@
 /* No plan asks for more: a figure beyond is no plan of ours. */
 #define MOST_NEED 100000.0
 
-const struct carry_row *carry_find(const struct carry *c, const char *service)
+const struct saved_plan_row *saved_plan_find(const struct saved_plan *c,
+					     const char *service)
 {
 	size_t i;
 
@@ -22,14 +23,14 @@
 	return NULL;
 }
 
-struct carry_row *carry_row(struct carry *c, const char *service)
+struct saved_plan_row *saved_plan_row(struct saved_plan *c, const char *service)
 {
-	const struct carry_row *found = carry_find(c, service);
-	struct carry_row *row;
+	const struct saved_plan_row *found = saved_plan_find(c, service);
+	struct saved_plan_row *row;
 
 	if (found)
 		return &c->rows[found - c->rows];
-	if (c->nr_rows == CARRY_SERVICES)
+	if (c->nr_rows == SAVED_PLAN_MAX_SERVICES)
 		return NULL;
 	row = &c->rows[c->nr_rows++];
 	memset(row, 0, sizeof(*row));
@@ -37,9 +38,9 @@
 	return row;
 }
 
-void carry_encode(const struct carry *c, struct buf *out)
+void saved_plan_encode(const struct saved_plan *c, struct buf *out)
 {
-	const struct carry_row *row;
+	const struct saved_plan_row *row;
 	size_t i;
 
 	buf_str(out, "{\"services\":[");
@@ -48,7 +49,8 @@
 		buf_str(out, i ? ",{\"name\":" : "{\"name\":");
 		buf_json(out, row->service);
 		buf_fmt(out, ",\"need\":%.3f,\"usual\":%.3f,\"firm\":%.3f}",
-			row->need.need, row->need.usual, row->firm_held);
+			row->need.need, row->need.baseline,
+			row->on_demand_held);
 	}
 	buf_str(out, "]}");
 }
@@ -58,25 +60,25 @@
 	return isfinite(v) && v >= 0 && v <= MOST_NEED;
 }
 
-static bool decode_row(struct json_object *o, struct carry *out)
+static bool decode_row(struct json_object *o, struct saved_plan *out)
 {
 	const char *name = jsn_str(o, "name", "");
-	struct carry_row *row;
+	struct saved_plan_row *row;
 
 	if (!*name || strlen(name) >= SCALE_NAME)
 		return false;
-	row = carry_row(out, name);
+	row = saved_plan_row(out, name);
 	if (!row)
 		return false;
 	row->need.need = jsn_dbl(o, "need", -1);
-	row->need.usual = jsn_dbl(o, "usual", -1);
-	row->firm_held = jsn_dbl(o, "firm", -1);
-	row->need.loaded = true;
+	row->need.baseline = jsn_dbl(o, "usual", -1);
+	row->on_demand_held = jsn_dbl(o, "firm", -1);
+	row->need.load_seen = true;
 	return sound(row->need.need) && row->need.need > 0 &&
-	       sound(row->need.usual) && sound(row->firm_held);
+	       sound(row->need.baseline) && sound(row->on_demand_held);
 }
 
-bool carry_decode(const char *text, size_t len, struct carry *out)
+bool saved_plan_decode(const char *text, size_t len, struct saved_plan *out)
 {
 	JSN_AUTO *o = jsn_parse(text, len);
 	struct json_object *list = o ? jsn_get(o, "services") : NULL;
@@ -99,18 +101,19 @@
 	return fabs(a - b) > WORTH_PART * b;
 }
 
-bool carry_differs(const struct carry *now, const struct carry *written)
+bool saved_plan_differs(const struct saved_plan *now,
+			const struct saved_plan *written)
 {
-	const struct carry_row *a, *b;
+	const struct saved_plan_row *a, *b;
 	size_t i;
 
 	if (now->nr_rows != written->nr_rows)
 		return true;
 	for (i = 0; i < now->nr_rows; i++) {
 		a = &now->rows[i];
-		b = carry_find(written, a->service);
+		b = saved_plan_find(written, a->service);
 		if (!b || differs(a->need.need, b->need.need) ||
-		    differs(a->need.usual, b->need.usual))
+		    differs(a->need.baseline, b->need.baseline))
 			return true;
 	}
 	return false;
--- a/lib/duty/scale.c
+++ b/lib/duty/scale.c
@@ -47,20 +47,21 @@
 /* The highest load relative to the usual one; beyond it is queue. */
 #define SURGE 1.5
 
-void scale_look(struct scale_need *n, double load, int usable, double first)
+void scale_update_need(struct scale_need *n, double load, int usable,
+		       double first)
 {
 	const bool crowded = load > usable * CROWDED;
 
 	if (!n->need)
-		n->need = n->usual = first;
+		n->need = n->baseline = first;
 	if (load > 0)
-		n->loaded = true;
-	if (!n->loaded)
+		n->load_seen = true;
+	if (!n->load_seen)
 		return;
-	if (crowded && load > n->usual * SURGE)
-		load = n->usual * SURGE;
+	if (crowded && load > n->baseline * SURGE)
+		load = n->baseline * SURGE;
 	if (!crowded)
-		n->usual += (load - n->usual) * NEED_DECAY;
+		n->baseline += (load - n->baseline) * NEED_DECAY;
 	if (load > n->need)
 		n->need = load;
 	else
@@ -71,7 +72,8 @@
 static int room_for_spot(const struct scale_zone *z,
 			 const struct scale_input *in)
 {
-	const int kept = in->idle ? 0 : z->firm + z->firm_coming;
+	const int kept = in->no_load_yet ? 0
+					 : z->on_demand + z->on_demand_starting;
 
 	return kept < in->max ? in->max - kept : 0;
 }
@@ -90,7 +92,7 @@
 /* Spot endpoints of a zone: those planned, or those that run or start. */
 static int spot_there(const struct scale_zone *z, const struct scale_input *in)
 {
-	const int kept = in->idle ? 0 : z->spot + z->spot_coming;
+	const int kept = in->no_load_yet ? 0 : z->spot + z->spot_starting;
 
 	return kept > z->want_spot ? kept : z->want_spot;
 }
@@ -99,9 +101,9 @@
 static bool full_for_firm(const struct scale_zone *z,
 			  const struct scale_input *in)
 {
-	const bool runs = z->want_firm < z->firm;
+	const bool runs = z->want_on_demand < z->on_demand;
 
-	return z->want_firm + (runs ? z->want_spot : spot_there(z, in)) >=
+	return z->want_on_demand + (runs ? z->want_spot : spot_there(z, in)) >=
 	       in->max;
 }
 
@@ -116,7 +118,7 @@
 
 	for (i = 0; i < n; i++) {
 		if (full_for_spot(&z[i], in) ||
-		    (in->now_ms < z[i].spot_dry_ms &&
+		    (in->now_ms < z[i].no_spot_until_ms &&
 		     z[i].want_spot >= z[i].spot))
 			continue;
 		if (best == n || z[i].want_spot < z[best].want_spot ||
@@ -130,8 +132,8 @@
 /* How well the next on-demand endpoint is placed in a zone; higher is better. */
 static int firm_rank(const struct scale_input *in, const struct scale_zone *z)
 {
-	const bool bare = z->want_firm + z->want_spot < in->min;
-	const bool runs = z->want_firm < z->firm;
+	const bool bare = z->want_on_demand + z->want_spot < in->min;
+	const bool runs = z->want_on_demand < z->on_demand;
 
 	return 2 * runs + bare;
 }
@@ -154,8 +156,8 @@
 
 	for (i = 0; i < n; i++) {
 		if (full_for_firm(&z[i], in) ||
-		    (in->now_ms < z[i].firm_dry_ms &&
-		     z[i].want_firm >= z[i].firm))
+		    (in->now_ms < z[i].no_on_demand_until_ms &&
+		     z[i].want_on_demand >= z[i].on_demand))
 			continue;
 		if (best == n || better_firm(in, &z[i], &z[best]))
 			best = i;
@@ -219,7 +221,7 @@
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		sure = z[i].spot + (granted ? z[i].spot_coming : 0);
+		sure = z[i].spot + (granted ? z[i].spot_starting : 0);
 		sum += sure < z[i].want_spot ? sure : z[i].want_spot;
 	}
 	return sum;
@@ -231,8 +233,8 @@
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (z[i].spot_dry_ms &&
-		    in->now_ms < z[i].spot_dry_ms + DRY_HOLD_MS)
+		if (z[i].no_spot_until_ms &&
+		    in->now_ms < z[i].no_spot_until_ms + DRY_HOLD_MS)
 			return true;
 	}
 	return false;
@@ -276,15 +278,15 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		now += z[i].firm + z[i].firm_coming;
-	if (in->idle)
+		now += z[i].on_demand + z[i].on_demand_starting;
+	if (in->no_load_yet)
 		return low;
 	if (now < low)
-		return at_least(low, in->firm_least);
-	return at_least(now < high ? now : high, in->firm_least);
+		return at_least(low, in->min_on_demand);
+	return at_least(now < high ? now : high, in->min_on_demand);
 }
 
-double scale_ease(double held, int wanted, int64_t since_ms)
+double scale_limit_drain(double held, int wanted, int64_t since_ms)
 {
 	const double left = held - held * (double)since_ms / EASE_MS;
 
@@ -301,18 +303,18 @@
 		i = next_firm(z, n, in);
 		if (i == n)
 			return;
-		z[i].want_firm++;
+		z[i].want_on_demand++;
 	}
 }
 
 static void keep_minimum(const struct scale_input *in, struct scale_zone *z)
 {
-	while (z->want_firm + at_least(z->want_spot, z->spot_coming) <
+	while (z->want_on_demand + at_least(z->want_spot, z->spot_starting) <
 	       in->min) {
-		if (in->spot_price > 0 && in->now_ms >= z->spot_dry_ms)
+		if (in->spot_price > 0 && in->now_ms >= z->no_spot_until_ms)
 			z->want_spot++;
 		else
-			z->want_firm++;
+			z->want_on_demand++;
 	}
 }
 
@@ -321,7 +323,7 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		z[i].want_firm = z[i].want_spot = 0;
+		z[i].want_on_demand = z[i].want_spot = 0;
 	place_spot(in, z, n);
 	place_firm(in, z, n);
 	for (i = 0; i < n; i++)
--- a/lib/duty/usage.c
+++ b/lib/duty/usage.c
@@ -81,7 +81,7 @@
 	row_of(u, source, window, account)->runs++;
 }
 
-void usage_learn(struct usage *u, uint64_t source, int64_t window,
+void usage_merge(struct usage *u, uint64_t source, int64_t window,
 		 const char *account, int64_t runs)
 {
 	struct usage_row *row = row_of(u, source, window, account);
@@ -123,7 +123,7 @@
 	return n;
 }
 
-void usage_forget(struct usage *u, int64_t from)
+void usage_drop_before(struct usage *u, int64_t from)
 {
 	struct usage_row *row, *next;
 
--- a/lib/duty/usage.h
+++ b/lib/duty/usage.h
@@ -38,7 +38,7 @@
 	       const char *account);
 
 /* A source tells its count. */
-void usage_learn(struct usage *u, uint64_t source, int64_t window,
+void usage_merge(struct usage *u, uint64_t source, int64_t window,
 		 const char *account, int64_t runs);
 
 /* Calls `each` for all rows from window `from` on. */
@@ -51,6 +51,6 @@
 		 size_t max);
 
 /* Forgets windows before `from`. */
-void usage_forget(struct usage *u, int64_t from);
+void usage_drop_before(struct usage *u, int64_t from);
 
 #endif
--- a/lib/duty/truth.c
+++ b/lib/duty/walltime.c
@@ -1,13 +1,13 @@
-#include "duty/truth.h"
+#include "duty/walltime.h"
 
 #include <stdlib.h>
 
-void truth_init(struct truth *t, int64_t wall_ms, int64_t boot_ms)
+void walltime_init(struct walltime *t, int64_t wall_ms, int64_t boot_ms)
 {
 	t->offset_ms = wall_ms - boot_ms;
 }
 
-int64_t truth_now(const struct truth *t, int64_t boot_ms)
+int64_t walltime_now(const struct walltime *t, int64_t boot_ms)
 {
 	return boot_ms + t->offset_ms;
 }
@@ -19,7 +19,7 @@
 	return x < y ? -1 : x > y;
 }
 
-int64_t truth_compare(struct truth *t, int64_t *ahead_ms, size_t n)
+int64_t walltime_correct(struct walltime *t, int64_t *ahead_ms, size_t n)
 {
 	int64_t middle;
 
@@ -28,7 +28,7 @@
 		return 0;
 	qsort(ahead_ms, n, sizeof(*ahead_ms), order);
 	middle = ahead_ms[n / 2];
-	if (middle > -TRUTH_TOLERANCE_MS && middle < TRUTH_TOLERANCE_MS)
+	if (middle > -WALLTIME_TOLERANCE_MS && middle < WALLTIME_TOLERANCE_MS)
 		return 0;
 	t->offset_ms += middle;
 	return middle;
--- a/lib/duty/truth.h
+++ b/lib/duty/walltime.h
@@ -5,8 +5,8 @@
  * clock that never jumps. The other entries' estimates show if the start
  * itself fell into a jump: the middle one of all estimates wins.
  */
-#ifndef TRUTH_H
-#define TRUTH_H
+#ifndef WALLTIME_H
+#define WALLTIME_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -15,20 +15,20 @@
  * Estimates that differ by less are equal: the machines' clocks differ by
  * some ten milliseconds, and windows are counted in seconds.
  */
-#define TRUTH_TOLERANCE_MS 150
+#define WALLTIME_TOLERANCE_MS 150
 
-struct truth {
+struct walltime {
 	int64_t offset_ms; /* time of day less the steady clock */
 };
 
-void truth_init(struct truth *t, int64_t wall_ms, int64_t boot_ms);
+void walltime_init(struct walltime *t, int64_t wall_ms, int64_t boot_ms);
 
-int64_t truth_now(const struct truth *t, int64_t boot_ms);
+int64_t walltime_now(const struct walltime *t, int64_t boot_ms);
 
 /*
  * All estimates less our own, ours (0) among them; they are sorted. Corrects
  * ours if the middle one is beyond the tolerance. Returns the correction.
  */
-int64_t truth_compare(struct truth *t, int64_t *ahead_ms, size_t n);
+int64_t walltime_correct(struct walltime *t, int64_t *ahead_ms, size_t n);
 
 #endif
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -289,9 +289,9 @@
 	/* At the very first start there is no former holder to wait for. */
 	lead_init(&en->lead, c->first_start ? 0 : (int64_t)c->bounds.lease_ms,
 		  now);
-	en->lead.stay_away_ms = (int64_t)c->bounds.lease_ms;
+	en->lead.holdoff_ms = (int64_t)c->bounds.lease_ms;
 	usage_init(&en->usage, (int64_t)(c->bounds.usage_window_s * 1000));
-	truth_init(&en->truth, clk_wall_ms(en->clk), now);
+	walltime_init(&en->walltime, clk_wall_ms(en->clk), now);
 }
 
 static void log_start(struct edge *en)
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -232,7 +232,7 @@
 		if (r->prefill_tokens > 0)
 			edge_learn_first(r);
 		edge_first_event_seen(r);
-		count_run(r, truth_now(&en->truth, edge_now(en)));
+		count_run(r, walltime_now(&en->walltime, edge_now(en)));
 	}
 	note_pause(r);
 	if (!r->rq.started)
--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -240,12 +240,12 @@
 static void usage_tick(struct edge_duty *d, int64_t now)
 {
 	struct edge *en = d->en;
-	const int64_t true_now = truth_now(&en->truth, now);
+	const int64_t true_now = walltime_now(&en->walltime, now);
 	const int64_t current = usage_window(&en->usage, true_now);
 	const int64_t size = en->usage.window_ms;
 	int64_t end, late;
 
-	usage_forget(&en->usage, current - KEPT_WINDOWS);
+	usage_drop_before(&en->usage, current - KEPT_WINDOWS);
 	if (now < d->not_before_ms || !edge_duty_may_act(en))
 		return;
 	if (d->step == STEP_SENDING) {
@@ -314,7 +314,7 @@
 	if (!en->conf->cloud.address[0])
 		return;
 	/* A new holder orders what is wanted, whatever was ordered before. */
-	if (!en->lead.mine) {
+	if (!en->lead.is_holder) {
 		edge_scale_forget(d);
 		if (!d->calling)
 			d->step = STEP_IDLE;
--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -30,7 +30,7 @@
 struct edge_scaled {
 	char service[FLT_NAME];
 	struct scale_need need;
-	double firm_held; /* of those that stay, see scale_ease */
+	double firm_held; /* of those that stay, see scale_limit_drain */
 	int64_t eased_ms;
 };
 
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -49,13 +49,14 @@
 	jlog_int(en->log, "config", en->force.cfg ? en->force.cfg->version : 0);
 	jlog_int(en->log, "config_age_ms", force_age(&en->force, now));
 	jlog_int(en->log, "endpoints", (int64_t)en->fleet.count);
-	jlog_bool(en->log, "duty", en->lead.mine);
+	jlog_bool(en->log, "duty", en->lead.is_holder);
 	jlog_end(en->log);
 	en->era.seen_ms = now;
-	en->era.began_true_ms = truth_now(&en->truth, now);
+	en->era.began_true_ms = walltime_now(&en->walltime, now);
 	force_doubt(&en->force, now + SETTLE_MS);
 	en->vfy.revision = 0;
-	lead_returned(&en->lead, (int64_t)en->conf->bounds.lease_ms, now);
+	lead_on_store_restored(&en->lead, (int64_t)en->conf->bounds.lease_ms,
+			       now);
 	edge_lease_void(en, now + spread_ms(en, now));
 }
 
@@ -68,8 +69,8 @@
 {
 	if (!sto_era(en->store))
 		return true;
-	return en->era.known &&
-	       truth_now(&en->truth, now) >= en->era.began_true_ms + SETTLE_MS;
+	return en->era.known && walltime_now(&en->walltime, now) >=
+					en->era.began_true_ms + SETTLE_MS;
 }
 
 /* ---- The record in the store ---- */
@@ -122,7 +123,7 @@
 	if (en->era.recorded == sto_era(en->store) || en->era.began_true_ms)
 		return;
 	if (!en->conf->first_start)
-		en->era.began_true_ms = truth_now(&en->truth, now);
+		en->era.began_true_ms = walltime_now(&en->walltime, now);
 }
 
 void edge_era_tick(struct edge *en, int64_t now)
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -339,7 +339,7 @@
 	buf_str(&value, ",\"account\":");
 	buf_json(&value, row->account);
 	buf_fmt(&value, ",\"ends\":%u,\"at_ms\":%lld}", fatal_count(row),
-		(long long)truth_now(&en->truth, now));
+		(long long)walltime_now(&en->walltime, now));
 	c.conditions[0] = (struct sto_condition){ key, 0 };
 	c.rows[0] = (struct sto_row){ key, value.data, value.len, 0 };
 	sto_call(en->store, &c, sto_no_matter, NULL);
@@ -369,7 +369,7 @@
 
 static void keep_records(struct edge *en, int64_t now)
 {
-	const int64_t true_now = truth_now(&en->truth, now);
+	const int64_t true_now = walltime_now(&en->walltime, now);
 	struct fatal_row *row;
 	unsigned recorded = 0;
 
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -14,10 +14,10 @@
 #include "base/rnd.h"
 #include "config/force.h"
 #include "config/vfy.h"
-#include "duty/carry.h"
+#include "duty/saved_plan.h"
 #include "duty/lead.h"
 #include "duty/scale.h"
-#include "duty/truth.h"
+#include "duty/walltime.h"
 #include "duty/usage.h"
 #include "edge/conf.h"
 #include "edge/wire.h"
@@ -188,10 +188,10 @@
 	char self_peers[80];	       /* IP:PORT for other entries */
 
 	struct lead lead;
-	struct carry plan; /* of the holder, as last read from the store */
+	struct saved_plan plan; /* of the holder, as last read from the store */
 	char duty_holder[GSP_NAME]; /* entry that holds the duties; "": none */
 	struct usage usage;
-	struct truth truth;
+	struct walltime walltime;
 	struct edge_duty *duty;
 
 	ev_timer tick;
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -35,7 +35,7 @@
 	en->lease.id = 0;
 	en->lease.until_ms = 0;
 	en->lease.registered = false;
-	lead_lost(&en->lead, now);
+	lead_on_lease_lost(&en->lead, now);
 }
 
 void edge_lease_void(struct edge *en, int64_t next_ms)
@@ -134,7 +134,7 @@
 {
 	const struct sto_call c = { .kind = STO_END, .lease = en->lease.id };
 
-	lead_lost(&en->lead, edge_now(en));
+	lead_on_lease_lost(&en->lead, edge_now(en));
 	if (!en->lease.id)
 		return;
 	en->lease.id = 0;
@@ -149,7 +149,7 @@
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
 
-	lead_tried(&en->lead, a->outcome == STO_OK, a->revision, now);
+	lead_end_acquire(&en->lead, a->outcome == STO_OK, a->revision, now);
 	if (a->outcome != STO_OK)
 		return;
 	jlog_begin(en->log, JLOG_INFO, "duty");
@@ -168,13 +168,14 @@
 	if (!en->conf->cloud.address[0] || !en->lease.registered ||
 	    en->stopping || !en->watches[EDGE_OWN].mirror.whole)
 		return;
-	if ((en->lead.taken && !en->lead.former) ||
-	    !lead_try(&en->lead, edge_watch_place(en, now), en->lease.until_ms,
-		      now))
+	if ((en->lead.key_exists && !en->lead.previous_boot_revision) ||
+	    !lead_begin_acquire(&en->lead, edge_watch_place(en, now),
+				en->lease.until_ms, now))
 		return;
 	edge_lease_holder(en, mine, sizeof(mine));
-	c.conditions[0] = (struct sto_condition){ EDGE_DUTY_KEY,
-						  lead_expected(&en->lead) };
+	c.conditions[0] =
+		(struct sto_condition){ EDGE_DUTY_KEY,
+					lead_expected_revision(&en->lead) };
 	c.rows[0] = (struct sto_row){ EDGE_DUTY_KEY, mine, strlen(mine),
 				      en->lease.id };
 	sto_call(en->store, &c, on_duty_taken, en);
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -142,7 +142,7 @@
 
 static void fill_record(struct edge *en, struct gsp_record *r, int64_t now)
 {
-	const int64_t true_now = truth_now(&en->truth, now);
+	const int64_t true_now = walltime_now(&en->walltime, now);
 	const int64_t age = force_age(&en->force, now);
 	const int64_t from =
 		usage_window(&en->usage, true_now) - TOLD_WINDOWS + 1;
@@ -267,7 +267,7 @@
 static void hear(struct edge *en, const struct gsp_record *r, int64_t now)
 {
 	struct prs_peer *p =
-		prs_heard(&en->prs, r, now, truth_now(&en->truth, now));
+		prs_heard(&en->prs, r, now, walltime_now(&en->walltime, now));
 	int64_t at;
 	unsigned i;
 
@@ -276,7 +276,7 @@
 	if (r->store_era > sto_era(en->store))
 		sto_learn_era(en->store, r->store_era);
 	for (i = 0; i < r->nr_counts; i++)
-		usage_learn(&en->usage, r->counts[i].source,
+		usage_merge(&en->usage, r->counts[i].source,
 			    r->counts[i].window, r->counts[i].account,
 			    r->counts[i].runs);
 	for (i = 0; i < r->nr_services; i++)
@@ -392,7 +392,7 @@
 		if (n <= MAX_ESTIMATES && prs_alive(p, now))
 			ahead[n++] = p->ahead_ms;
 	}
-	by = truth_compare(&en->truth, ahead, n);
+	by = walltime_correct(&en->walltime, ahead, n);
 	if (!by)
 		return;
 	/* What was heard is judged anew by the next datagrams. */
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -364,7 +364,7 @@
 
 void edge_rollout_say(struct edge *en, struct gsp_record *out, int64_t now)
 {
-	const int64_t true_now = truth_now(&en->truth, now);
+	const int64_t true_now = walltime_now(&en->walltime, now);
 	const struct edge_rollout *ro;
 
 	cds_list_for_each_entry(ro, &en->rollouts, node) {
@@ -422,7 +422,7 @@
 		if (r->rolled_back[i] != rol_order_id(&ro->record))
 			continue;
 		rol_roll_back(&back, "another entry told",
-			      truth_now(&en->truth, now));
+			      walltime_now(&en->walltime, now));
 		edge_rollout_apply(en, ro, &back);
 		/* The sender may have exited before writing the record. */
 		ro->unwritten = true;
@@ -488,7 +488,7 @@
 	cds_list_for_each_entry(ro, &en->rollouts, node) {
 		if (uses_need_update(ro, now))
 			update_uses(en, ro);
-		if (en->lead.mine)
+		if (en->lead.is_holder)
 			edge_rollout_decide(en, ro, now);
 	}
 }
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -144,7 +144,7 @@
 	const struct edge_watch *w = &en->watches[EDGE_ROLLOUTS];
 
 	return w->mirror.whole && !w->returning &&
-	       w->complete_ms >= en->lead.since_ms;
+	       w->complete_ms >= en->lead.held_since_ms;
 }
 
 static void log_decision(struct edge *en, const struct edge_rollout *ro,
@@ -297,8 +297,8 @@
 	memset(&counts, 0, sizeof(counts));
 	if (ro->recorded && rol_in_progress(&ro->record))
 		sum_counts(ro, &counts);
-	s.now_ms = truth_now(&en->truth, now);
-	s.settled = now - en->lead.since_ms >= SETTLED_MS;
+	s.now_ms = walltime_now(&en->walltime, now);
+	s.settled = now - en->lead.held_since_ms >= SETTLED_MS;
 	s.in_target = sums.in_target;
 	s.required = required_endpoints(en, ro->service, sums.in_from);
 	s.former_running = sums.former_running;
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -41,7 +41,7 @@
 static struct edge_scaled *scaled_of(struct edge_duty *d, const char *service,
 				     int64_t now)
 {
-	const struct carry_row *before;
+	const struct saved_plan_row *before;
 	struct edge_scaled *row;
 	size_t i;
 
@@ -57,17 +57,17 @@
 	row->eased_ms = now;
 	/* The former holder's plan, from the store. */
 	before = d->en->conf->policy.carry_plan
-			 ? carry_find(&d->en->plan, service)
+			 ? saved_plan_find(&d->en->plan, service)
 			 : NULL;
 	if (before) {
 		row->need = before->need;
-		row->firm_held = before->firm_held;
+		row->firm_held = before->on_demand_held;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "plan_begun");
 	jlog_str(d->en->log, "service", service);
 	jlog_bool(d->en->log, "carried", before != NULL);
 	jlog_num(d->en->log, "need", row->need.need);
-	jlog_num(d->en->log, "usual", row->need.usual);
+	jlog_num(d->en->log, "usual", row->need.baseline);
 	jlog_int(d->en->log, "fence", d->en->lead.fence);
 	jlog_end(d->en->log);
 	return row;
@@ -118,7 +118,7 @@
 	/* Orders include the endpoints of all versions. */
 	en->wire->scale(&w, o->service, o->zone, o->reclaimable,
 			number + (o->reclaimable ? z->spot_other_version
-						 : z->firm_other_version),
+						 : z->on_demand_other_version),
 			&wire);
 	d->order = o;
 	d->order_number = number;
@@ -129,13 +129,13 @@
 	jlog_bool(en->log, "reclaimable", o->reclaimable);
 	jlog_int(en->log, "before", o->number);
 	jlog_int(en->log, "number", number);
-	jlog_int(en->log, "there", o->reclaimable ? z->spot : z->firm);
+	jlog_int(en->log, "there", o->reclaimable ? z->spot : z->on_demand);
 	jlog_int(en->log, "apart",
 		 o->reclaimable ? z->spot_other_version
-				: z->firm_other_version);
+				: z->on_demand_other_version);
 	jlog_int(en->log, "starting",
-		 o->reclaimable ? z->spot_coming : z->firm_coming);
-	jlog_int(en->log, "beside", o->reclaimable ? z->firm : z->spot);
+		 o->reclaimable ? z->spot_starting : z->on_demand_starting);
+	jlog_int(en->log, "beside", o->reclaimable ? z->on_demand : z->spot);
 	jlog_num(en->log, "need", scaled_of(d, o->service, now)->need.need);
 	jlog_int(en->log, "fence", en->lead.fence);
 	jlog_end(en->log);
@@ -280,7 +280,8 @@
 	if (e->info.reclaimable)
 		*(other_version ? &z->spot_other_version : &z->spot) += 1;
 	else
-		*(other_version ? &z->firm_other_version : &z->firm) += 1;
+		*(other_version ? &z->on_demand_other_version
+				: &z->on_demand) += 1;
 }
 
 static size_t zones_of(struct edge_duty *d, const struct cfg_service *s,
@@ -304,12 +305,12 @@
 			count_endpoint(d->en, z, e);
 		}
 		order = order_of(d, s->name, z->name, false);
-		z->firm_dry_ms = order->dry_ms;
-		z->firm_coming =
-			coming(order, z->firm, s->scaling.boot_ms, now);
+		z->no_on_demand_until_ms = order->dry_ms;
+		z->on_demand_starting =
+			coming(order, z->on_demand, s->scaling.boot_ms, now);
 		order = order_of(d, s->name, z->name, true);
-		z->spot_dry_ms = order->dry_ms;
-		z->spot_coming =
+		z->no_spot_until_ms = order->dry_ms;
+		z->spot_starting =
 			coming(order, z->spot, s->scaling.boot_ms, now);
 	}
 	return n;
@@ -318,8 +319,8 @@
 static bool carry_out(struct edge_duty *d, const struct cfg_service *s,
 		      const struct scale_zone *z, bool reclaimable)
 {
-	const int number = reclaimable ? z->want_spot : z->want_firm;
-	const int have = reclaimable ? z->spot : z->firm;
+	const int number = reclaimable ? z->want_spot : z->want_on_demand;
+	const int have = reclaimable ? z->spot : z->on_demand;
 	struct edge_order *o = order_of(d, s->name, z->name, reclaimable);
 	const int64_t now = edge_now(d->en);
 
@@ -354,10 +355,10 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		there += z[i].firm + z[i].spot;
+		there += z[i].on_demand + z[i].spot;
 	if (first < there / START_PART)
 		first = there / START_PART;
-	scale_look(need, load_of(d->en, s, &w), w.usable, first);
+	scale_update_need(need, load_of(d->en, s, &w), w.usable, first);
 }
 
 /* Plans again if on-demand endpoints would go too fast. */
@@ -368,14 +369,14 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		wanted += zones[i].want_firm;
-	d->firm_held = in->idle || !in->ease
+		wanted += zones[i].want_on_demand;
+	d->firm_held = in->no_load_yet || !in->ease
 			       ? wanted
-			       : scale_ease(d->firm_held, wanted,
-					    in->now_ms - d->eased_ms);
+			       : scale_limit_drain(d->firm_held, wanted,
+						   in->now_ms - d->eased_ms);
 	d->eased_ms = in->now_ms;
-	in->firm_least = (int)d->firm_held;
-	if (in->firm_least > wanted)
+	in->min_on_demand = (int)d->firm_held;
+	if (in->min_on_demand > wanted)
 		scale_plan(in, zones, n);
 }
 
@@ -397,7 +398,7 @@
 	size_t i;
 
 	follow_load(d, s, &row->need, zones, n);
-	in.idle = d->en->conf->first_start && !row->need.loaded;
+	in.no_load_yet = d->en->conf->first_start && !row->need.load_seen;
 	in.busy = row->need.need;
 	/* One for each zone at least, for their prompt caches. */
 	in.need = row->need.need < (double)n ? (double)n : row->need.need;
@@ -431,7 +432,7 @@
 		met_inc(d->en->m.store_failures);
 }
 
-static void write_plan(struct edge_duty *d, const struct carry *plan)
+static void write_plan(struct edge_duty *d, const struct saved_plan *plan)
 {
 	struct edge *en = d->en;
 	BUF_AUTO value = BUF_INIT;
@@ -439,7 +440,7 @@
 			      .nr_conditions = 1,
 			      .nr_rows = 1 };
 
-	carry_encode(plan, &value);
+	saved_plan_encode(plan, &value);
 	/* A former holder must not overwrite its successor's plan. */
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
@@ -450,22 +451,22 @@
 
 static void carry_on(struct edge_duty *d, int64_t now)
 {
-	struct carry plan = { .nr_rows = 0 };
-	struct carry_row *row;
+	struct saved_plan plan = { .nr_rows = 0 };
+	struct saved_plan_row *row;
 	size_t i;
 
 	if (d->writing_plan || now - d->plan_written_ms < PLAN_WRITE_MS)
 		return;
 	for (i = 0; i < d->nr_scaled; i++) {
-		if (!d->scaled[i].need.loaded)
+		if (!d->scaled[i].need.load_seen)
 			continue;
-		row = carry_row(&plan, d->scaled[i].service);
+		row = saved_plan_row(&plan, d->scaled[i].service);
 		if (!row)
 			break;
 		row->need = d->scaled[i].need;
-		row->firm_held = d->scaled[i].firm_held;
+		row->on_demand_held = d->scaled[i].firm_held;
 	}
-	if (!plan.nr_rows || !carry_differs(&plan, &d->en->plan))
+	if (!plan.nr_rows || !saved_plan_differs(&plan, &d->en->plan))
 		return;
 	d->plan_written_ms = now;
 	write_plan(d, &plan);
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -180,7 +180,7 @@
 	if (r->sends > 1)
 		met_inc(r->rq.started ? en->m.resumes : en->m.resends);
 	r->sent_ms = now;
-	r->sent_true_ms = truth_now(&en->truth, now);
+	r->sent_true_ms = walltime_now(&en->walltime, now);
 	memset(&r->reply, 0, sizeof(r->reply));
 	evs_restart(&r->events);
 	log_send(r, p, &f);
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -109,31 +109,31 @@
 	jlog_end(en->log);
 }
 
-static enum lead_whose whose_duty(const struct edge *en, const char *value,
+static enum lead_owner whose_duty(const struct edge *en, const char *value,
 				  size_t len)
 {
 	char mine[128];
 
 	edge_lease_holder(en, mine, sizeof(mine));
 	if (strlen(mine) == len && !memcmp(mine, value, len))
-		return LEAD_MINE;
+		return LEAD_OWNER_SELF;
 	if (!strcmp(en->duty_holder, en->conf->name))
-		return LEAD_FORMER;
-	return LEAD_OTHERS;
+		return LEAD_OWNER_PREVIOUS_BOOT;
+	return LEAD_OWNER_OTHER;
 }
 
 static void take_duty(struct edge *en, const char *value, size_t len,
 		      int64_t revision)
 {
-	const bool was = en->lead.mine;
+	const bool was = en->lead.is_holder;
 
 	edge_lease_entry(value, len, en->duty_holder, sizeof(en->duty_holder));
-	lead_seen(&en->lead, whose_duty(en, value, len), revision,
-		  edge_now(en));
-	if (was == en->lead.mine)
+	lead_on_key(&en->lead, whose_duty(en, value, len), revision,
+		    edge_now(en));
+	if (was == en->lead.is_holder)
 		return;
 	jlog_begin(en->log, JLOG_INFO, "duty");
-	jlog_bool(en->log, "holding", en->lead.mine);
+	jlog_bool(en->log, "holding", en->lead.is_holder);
 	jlog_int(en->log, "fence", en->lead.fence);
 	jlog_end(en->log);
 }
@@ -163,7 +163,7 @@
 	else if (begins(key, en->wire->rollout_prefix))
 		edge_rollout_ordered(en, key, value, len, revision);
 	else if (!strcmp(key, EDGE_PLAN_KEY) &&
-		 !carry_decode(value, len, &en->plan))
+		 !saved_plan_decode(value, len, &en->plan))
 		edge_unreadable(en, key, "no plan");
 }
 
@@ -205,7 +205,7 @@
 		edge_rollout_withdrawn(en, key);
 	} else if (!strcmp(key, EDGE_DUTY_KEY)) {
 		en->duty_holder[0] = '\0';
-		lead_vacant(&en->lead, revision, now);
+		lead_on_key_deleted(&en->lead, revision, now);
 	}
 }
 
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -296,6 +296,6 @@
 
 	for (i = 0; i < EDGE_NR_FOLLOWED; i++)
 		watch_tick(&en->watches[i], now);
-	if (en->lead.mine && en->conf->bounds.exposure_share > 0)
+	if (en->lead.is_holder && en->conf->bounds.exposure_share > 0)
 		watch_tick(&en->watches[EDGE_ROLLOUTS], now);
 }
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -5,10 +5,10 @@
 
 #include "base/buf.h"
 #include "base/rnd.h"
-#include "duty/carry.h"
+#include "duty/saved_plan.h"
 #include "duty/lead.h"
 #include "duty/scale.h"
-#include "duty/truth.h"
+#include "duty/walltime.h"
 #include "duty/usage.h"
 #include "support/unit.h"
 
@@ -74,24 +74,26 @@
 	w->revision++;
 	for (i = 0; i < NODES; i++) {
 		if (now >= w->nodes[i].frozen_till && !w->nodes[i].watch_at)
-			lead_vacant(&w->nodes[i].lead, w->revision, now);
+			lead_on_key_deleted(&w->nodes[i].lead, w->revision,
+					    now);
 	}
 }
 
-static enum lead_whose whose(const struct world *w, const struct node *x, int n)
+static enum lead_owner whose(const struct world *w, const struct node *x, int n)
 {
 	if (w->holder != n)
-		return LEAD_OTHERS;
-	return w->holder_boot == x->boot ? LEAD_MINE : LEAD_FORMER;
+		return LEAD_OWNER_OTHER;
+	return w->holder_boot == x->boot ? LEAD_OWNER_SELF
+					 : LEAD_OWNER_PREVIOUS_BOOT;
 }
 
 /* A frozen node's watch catches up when it wakes. */
 static void catch_up(struct world *w, struct node *x, int n, int64_t now)
 {
 	if (w->holder < 0)
-		lead_vacant(&x->lead, w->revision, now);
+		lead_on_key_deleted(&x->lead, w->revision, now);
 	else
-		lead_seen(&x->lead, whose(w, x, n), w->fence, now);
+		lead_on_key(&x->lead, whose(w, x, n), w->fence, now);
 }
 
 static void renew(struct world *w, struct node *x, int n, int64_t now,
@@ -123,9 +125,10 @@
 		lead_init(&x->lead, AWAY, now);
 		catch_up(w, x, n, now);
 	}
-	if (lead_try(&x->lead, n, now + LEASE, now)) {
+	if (lead_begin_acquire(&x->lead, n, now + LEASE, now)) {
 		const int64_t stands = w->holder < 0 ? 0 : w->fence;
-		const bool free_now = lead_expected(&x->lead) == stands;
+		const bool free_now = lead_expected_revision(&x->lead) ==
+				      stands;
 
 		if (free_now) {
 			w->holder = n;
@@ -136,9 +139,9 @@
 		}
 		/* The answer may be lost; the watch then shows the key. */
 		if (rnd_below(rnd, 4)) {
-			lead_tried(&x->lead, free_now, w->fence, now);
+			lead_end_acquire(&x->lead, free_now, w->fence, now);
 		} else {
-			lead_tried(&x->lead, false, 0, now);
+			lead_end_acquire(&x->lead, false, 0, now);
 			catch_up(w, x, n, now);
 		}
 	}
@@ -217,21 +220,21 @@
 	struct lead l;
 
 	lead_init(&l, AWAY, 0);
-	CU_ASSERT_FALSE(lead_try(&l, 0, 10000, 100));
-	CU_ASSERT(lead_try(&l, 0, 10000, AWAY));
-	CU_ASSERT_FALSE(lead_try(&l, 0, 10000, AWAY));
-	lead_tried(&l, true, 50, AWAY);
-	lead_vacant(&l, 49, AWAY + 1);
-	lead_seen(&l, LEAD_OTHERS, 40, AWAY + 2);
-	CU_ASSERT(l.mine);
+	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 10000, 100));
+	CU_ASSERT(lead_begin_acquire(&l, 0, 10000, AWAY));
+	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 10000, AWAY));
+	lead_end_acquire(&l, true, 50, AWAY);
+	lead_on_key_deleted(&l, 49, AWAY + 1);
+	lead_on_key(&l, LEAD_OWNER_OTHER, 40, AWAY + 2);
+	CU_ASSERT(l.is_holder);
 	CU_ASSERT_FALSE(lead_may_act(&l, 20000, AWAY + 10));
 	CU_ASSERT(lead_may_act(&l, 20000, AWAY + LEAD_SETTLE_MS));
 	CU_ASSERT_FALSE(lead_may_act(&l, AWAY + LEAD_SETTLE_MS + 100,
 				     AWAY + LEAD_SETTLE_MS));
-	lead_vacant(&l, 51, 9000);
-	CU_ASSERT_FALSE(l.mine);
-	CU_ASSERT_FALSE(lead_try(&l, 0, 20000, 9000 + AWAY - 1));
-	CU_ASSERT(lead_try(&l, 0, 20000, 9000 + AWAY));
+	lead_on_key_deleted(&l, 51, 9000);
+	CU_ASSERT_FALSE(l.is_holder);
+	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 20000, 9000 + AWAY - 1));
+	CU_ASSERT(lead_begin_acquire(&l, 0, 20000, 9000 + AWAY));
 }
 
 /* A restarted entry must not wait for the lease of its own former boot. */
@@ -240,22 +243,22 @@
 	struct lead l;
 
 	lead_init(&l, AWAY, 0);
-	lead_seen(&l, LEAD_FORMER, 40, 100);
-	CU_ASSERT(lead_try(&l, -1, 20000, 100));
-	CU_ASSERT_EQUAL(lead_expected(&l), 40);
-	lead_tried(&l, true, 41, 110);
-	CU_ASSERT(l.mine);
+	lead_on_key(&l, LEAD_OWNER_PREVIOUS_BOOT, 40, 100);
+	CU_ASSERT(lead_begin_acquire(&l, -1, 20000, 100));
+	CU_ASSERT_EQUAL(lead_expected_revision(&l), 40);
+	lead_end_acquire(&l, true, 41, 110);
+	CU_ASSERT(l.is_holder);
 	CU_ASSERT_EQUAL(l.fence, 41);
 	CU_ASSERT_FALSE(lead_may_act(&l, 20000, 110));
 	CU_ASSERT(lead_may_act(&l, 20000, 110 + LEAD_SETTLE_MS));
 
 	/* Another one holds it, or held it since: as before. */
 	lead_init(&l, AWAY, 0);
-	lead_seen(&l, LEAD_OTHERS, 40, 100);
-	CU_ASSERT_FALSE(lead_try(&l, 0, 20000, 200));
-	lead_vacant(&l, 45, 300);
-	CU_ASSERT_FALSE(lead_try(&l, 0, 20000, 300));
-	CU_ASSERT_EQUAL(lead_expected(&l), 0);
+	lead_on_key(&l, LEAD_OWNER_OTHER, 40, 100);
+	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 20000, 200));
+	lead_on_key_deleted(&l, 45, 300);
+	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 20000, 300));
+	CU_ASSERT_EQUAL(lead_expected_revision(&l), 0);
 }
 
 /* ---- Usage ---- */
@@ -278,8 +281,8 @@
 		taken_ms = 0;
 		for (i = 0; i < MANY; i++) {
 			lead_init(&all[i], AWAY, -AWAY);
-			lead_seen(&all[i], LEAD_OTHERS, 5, 0);
-			lead_vacant(&all[i], 6, 1000);
+			lead_on_key(&all[i], LEAD_OWNER_OTHER, 5, 0);
+			lead_on_key_deleted(&all[i], 6, 1000);
 		}
 		/* Those that rank before `first` are dead. */
 		for (now = 1000; now < 6000; now += 50) {
@@ -287,11 +290,13 @@
 				const int place = i < RANKED ? i : -1;
 
 				if (taken_ms && now >= taken_ms + SEEN_AFTER_MS)
-					lead_seen(&all[i], LEAD_OTHERS, 7, now);
-				if (!lead_try(&all[i], place, now + LEASE, now))
+					lead_on_key(&all[i], LEAD_OWNER_OTHER,
+						    7, now);
+				if (!lead_begin_acquire(&all[i], place,
+							now + LEASE, now))
 					continue;
 				tries++;
-				lead_tried(&all[i], false, 0, now);
+				lead_end_acquire(&all[i], false, 0, now);
 				if (!taken_ms)
 					taken_ms = now;
 			}
@@ -311,14 +316,14 @@
 	CU_ASSERT_EQUAL(usage_window(&u, 12345), 2);
 	usage_add(&u, 1, 2, "a");
 	usage_add(&u, 1, 2, "a");
-	usage_learn(&u, 9, 2, "a", 5);
-	usage_learn(&u, 9, 2, "a", 4); /* a late datagram */
-	usage_learn(&u, 9, 2, "b", 1);
-	usage_learn(&u, 9, 3, "a", 7);
+	usage_merge(&u, 9, 2, "a", 5);
+	usage_merge(&u, 9, 2, "a", 4); /* a late datagram */
+	usage_merge(&u, 9, 2, "b", 1);
+	usage_merge(&u, 9, 3, "a", 7);
 	n = usage_sum(&u, 2, t, 4);
 	CU_ASSERT_EQUAL(n, 2);
 	CU_ASSERT_EQUAL(t[0].runs + t[1].runs, 8);
-	usage_forget(&u, 3);
+	usage_drop_before(&u, 3);
 	CU_ASSERT_EQUAL(usage_sum(&u, 2, t, 4), 0);
 	CU_ASSERT_EQUAL(usage_sum(&u, 3, t, 4), 1);
 	usage_free(&u);
@@ -330,16 +335,16 @@
 	int64_t ahead[4] = { 0, 3000, 2990, 3010 };
 	int64_t alone[4] = { 0, -3000, 4, -8 };
 	int64_t pair[2] = { 0, 5000 };
-	struct truth t;
+	struct walltime t;
 
-	truth_init(&t, 1000000, 500);
-	CU_ASSERT_EQUAL(truth_now(&t, 700), 1000200);
+	walltime_init(&t, 1000000, 500);
+	CU_ASSERT_EQUAL(walltime_now(&t, 700), 1000200);
 	/* One of the others jumped. */
-	CU_ASSERT_EQUAL(truth_compare(&t, alone, 4), 0);
+	CU_ASSERT_EQUAL(walltime_correct(&t, alone, 4), 0);
 	/* We started within a jump: all others say so. */
-	CU_ASSERT(truth_compare(&t, ahead, 4) >= 2990);
-	CU_ASSERT(truth_now(&t, 700) >= 1003190);
-	CU_ASSERT_EQUAL(truth_compare(&t, pair, 2), 0);
+	CU_ASSERT(walltime_correct(&t, ahead, 4) >= 2990);
+	CU_ASSERT(walltime_now(&t, 700) >= 1003190);
+	CU_ASSERT_EQUAL(walltime_correct(&t, pair, 2), 0);
 }
 
 /* ---- The plan ---- */
@@ -353,7 +358,7 @@
 	for (i = 0; i < 4; i++) {
 		snprintf(z[i].name, sizeof(z[i].name), "z%d", i);
 		z[i].price = prices[i];
-		z[i].firm = firm;
+		z[i].on_demand = firm;
 		z[i].spot = spot;
 	}
 	return 4;
@@ -365,7 +370,7 @@
 
 	*firm = *spot = 0;
 	for (i = 0; i < 4; i++) {
-		*firm += z[i].want_firm;
+		*firm += z[i].want_on_demand;
 		*spot += z[i].want_spot;
 	}
 }
@@ -379,7 +384,7 @@
 		.min = 1,
 		.max = 6,
 		.need = 4,
-		.idle = true,
+		.no_load_yet = true,
 		.spot_price = 0.15,
 		.now_ms = 1000,
 	};
@@ -388,7 +393,7 @@
 
 	four_zones(z, 3, 0);
 	for (i = 0; i < 4; i++)
-		z[i].spot_coming = 4;
+		z[i].spot_starting = 4;
 	scale_plan(&in, z, 4);
 	sums(z, &firm, &spot);
 	CU_ASSERT_EQUAL(spot, 16);
@@ -415,15 +420,15 @@
 	int firm, spot, i;
 
 	four_zones(z, 0, 0);
-	z[1].firm = 6;
+	z[1].on_demand = 6;
 	for (i = 0; i < 4; i++)
-		z[i].spot_coming = 4;
+		z[i].spot_starting = 4;
 	scale_plan(&in, z, 4);
 	sums(z, &firm, &spot);
 	CU_ASSERT_EQUAL(firm, 6);
 	for (i = 0; i < 4; i++) {
 		z[i].spot = 4;
-		z[i].spot_coming = 0;
+		z[i].spot_starting = 0;
 	}
 	scale_plan(&in, z, 4);
 	sums(z, &firm, &spot);
@@ -451,9 +456,9 @@
 	for (in.now_ms = 1050; in.now_ms < 30000; in.now_ms += 50) {
 		four_zones(z, last / 4, 30);
 		for (i = 0; i < last % 4; i++)
-			z[i].firm++;
-		held = scale_ease(held, 0, 50);
-		in.firm_least = (int)held;
+			z[i].on_demand++;
+		held = scale_limit_drain(held, 0, 50);
+		in.min_on_demand = (int)held;
 		scale_plan(&in, z, 4);
 		sums(z, &firm, &spot);
 		CU_ASSERT(last - firm <= 2);
@@ -462,7 +467,7 @@
 	}
 	CU_ASSERT_EQUAL(last, 0);
 	CU_ASSERT(steps >= 30);
-	CU_ASSERT_EQUAL(scale_ease(3, 7, 50), 7);
+	CU_ASSERT_EQUAL(scale_limit_drain(3, 7, 50), 7);
 }
 
 /* The pattern: zone after zone is reclaimed, and none are to be had. */
@@ -484,7 +489,7 @@
 
 	four_zones(z, 0, 0);
 	for (i = 0; i < 4; i++)
-		z[i].spot_dry_ms = 2000;
+		z[i].no_spot_until_ms = 2000;
 	scale_plan(&in, z, 4);
 	sums(z, &firm, &spot);
 	CU_ASSERT_EQUAL(firm, 6);
@@ -497,7 +502,7 @@
 	CU_ASSERT_EQUAL(spot, 4);
 	CU_ASSERT_EQUAL(firm, 6);
 	for (i = 0; i < 4; i++)
-		CU_ASSERT(z[i].want_firm + z[i].want_spot <= in.max);
+		CU_ASSERT(z[i].want_on_demand + z[i].want_spot <= in.max);
 }
 
 /* A queue after a reclaim must not be taken for load. */
@@ -507,43 +512,43 @@
 	int i;
 
 	for (i = 0; i < 1200; i++)
-		scale_look(&n, 14, 60, 20);
+		scale_update_need(&n, 14, 60, 20);
 	CU_ASSERT_DOUBLE_EQUAL(n.need, 14, 1);
 	for (i = 0; i < 100; i++)
-		scale_look(&n, 14 + i * 0.5, 5, 20);
-	CU_ASSERT(n.need <= 2.1 * n.usual);
+		scale_update_need(&n, 14 + i * 0.5, 5, 20);
+	CU_ASSERT(n.need <= 2.1 * n.baseline);
 	CU_ASSERT(n.need >= 20);
-	CU_ASSERT_DOUBLE_EQUAL(n.usual, 14, 1);
+	CU_ASSERT_DOUBLE_EQUAL(n.baseline, 14, 1);
 }
 
 /* A new holder must not order from a guess and undo it. */
 static void the_plan_outlives_its_holder(void)
 {
-	struct carry before = { .nr_rows = 0 }, after;
-	struct carry_row *row = carry_row(&before, "llm");
+	struct saved_plan before = { .nr_rows = 0 }, after;
+	struct saved_plan_row *row = saved_plan_row(&before, "llm");
 	BUF_AUTO text = BUF_INIT;
 	struct scale_need guess = { 0 };
 	int i;
 
 	for (i = 0; i < 200; i++)
-		scale_look(&row->need, 5, 20, 4);
-	row->firm_held = 1.5;
-	carry_encode(&before, &text);
-	CU_ASSERT(carry_decode(text.data, text.len, &after));
-	CU_ASSERT_FALSE(carry_differs(&after, &before));
-	CU_ASSERT_PTR_NOT_NULL_FATAL(carry_find(&after, "llm"));
-	row = carry_row(&after, "llm");
-	CU_ASSERT_DOUBLE_EQUAL(row->firm_held, 1.5, 0.01);
+		scale_update_need(&row->need, 5, 20, 4);
+	row->on_demand_held = 1.5;
+	saved_plan_encode(&before, &text);
+	CU_ASSERT(saved_plan_decode(text.data, text.len, &after));
+	CU_ASSERT_FALSE(saved_plan_differs(&after, &before));
+	CU_ASSERT_PTR_NOT_NULL_FATAL(saved_plan_find(&after, "llm"));
+	row = saved_plan_row(&after, "llm");
+	CU_ASSERT_DOUBLE_EQUAL(row->on_demand_held, 1.5, 0.01);
 	/* No load seen yet: the carried plan stands, a guess does not. */
-	scale_look(&row->need, 0, 20, 20);
+	scale_update_need(&row->need, 0, 20, 20);
 	CU_ASSERT_DOUBLE_EQUAL(row->need.need, 5, 0.2);
-	scale_look(&guess, 0, 20, 20);
+	scale_update_need(&guess, 0, 20, 20);
 	CU_ASSERT_DOUBLE_EQUAL(guess.need, 20, 0.2);
 	/* Worth writing again once it moved by a part. */
 	row->need.need = 5.3;
-	CU_ASSERT_FALSE(carry_differs(&after, &before));
+	CU_ASSERT_FALSE(saved_plan_differs(&after, &before));
 	row->need.need = 7;
-	CU_ASSERT(carry_differs(&after, &before));
+	CU_ASSERT(saved_plan_differs(&after, &before));
 }
 
 static void altered_plans_are_refused(void)
@@ -563,15 +568,15 @@
 		"{\"services\":[{\"name\":\"a\",\"need\":1e300,"
 		"\"usual\":1,\"firm\":0}]}",
 	};
-	struct carry c;
+	struct saved_plan c;
 	struct rnd rnd;
 	size_t i;
 	int round;
 
-	CU_ASSERT(carry_decode(good, strlen(good), &c));
+	CU_ASSERT(saved_plan_decode(good, strlen(good), &c));
 	CU_ASSERT_EQUAL(c.nr_rows, 2);
 	for (i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		CU_ASSERT_FALSE(carry_decode(bad[i], strlen(bad[i]), &c));
+		CU_ASSERT_FALSE(saved_plan_decode(bad[i], strlen(bad[i]), &c));
 		CU_ASSERT_EQUAL(c.nr_rows, 0);
 	}
 	rnd_seed(&rnd, 31);
@@ -583,7 +588,7 @@
 		for (k = 0; k < 1 + rnd_below(&rnd, 5); k++)
 			text.data[rnd_below(&rnd, (uint32_t)text.len)] =
 				(char)rnd_below(&rnd, 256);
-		if (!carry_decode(text.data, text.len, &c))
+		if (!saved_plan_decode(text.data, text.len, &c))
 			continue;
 		for (i = 0; i < c.nr_rows; i++)
 			CU_ASSERT(c.rows[i].need.need > 0 &&
@@ -598,14 +603,14 @@
 	int i;
 
 	for (i = 0; i < 100; i++)
-		scale_look(&n, 0, 12, 4);
+		scale_update_need(&n, 0, 12, 4);
 	CU_ASSERT_DOUBLE_EQUAL(n.need, 4, 0.001);
 	for (i = 0; i < 2000; i++)
-		scale_look(&n, 4, 12, 4);
-	scale_look(&n, 6.8, 12, 4);
+		scale_update_need(&n, 4, 12, 4);
+	scale_update_need(&n, 6.8, 12, 4);
 	CU_ASSERT_DOUBLE_EQUAL(n.need, 6.8, 0.001);
 	for (i = 0; i < 20; i++)
-		scale_look(&n, 4, 12, 4);
+		scale_update_need(&n, 4, 12, 4);
 	CU_ASSERT(n.need > 6);
 }
 
@@ -634,7 +639,7 @@
 	sums(z, &firm, &spot);
 	CU_ASSERT_EQUAL(firm, 0);
 	/* None are to be had: two zones are left, then one. */
-	z[0].spot_dry_ms = 11000;
+	z[0].no_spot_until_ms = 11000;
 	z[2].spot = 0;
 	scale_plan(&in, z, 4);
 	sums(z, &firm, &spot);
@@ -667,14 +672,15 @@
 
 		four_zones(z, 0, 0);
 		for (i = 0; i < 4; i++) {
-			z[i].firm = (int)rnd_below(&rnd, 5);
+			z[i].on_demand = (int)rnd_below(&rnd, 5);
 			z[i].spot = (int)rnd_below(&rnd, 5);
-			z[i].spot_dry_ms = rnd_below(&rnd, 2) ? 2000 : 0;
-			z[i].firm_dry_ms = rnd_below(&rnd, 4) ? 0 : 2000;
+			z[i].no_spot_until_ms = rnd_below(&rnd, 2) ? 2000 : 0;
+			z[i].no_on_demand_until_ms = rnd_below(&rnd, 4) ? 0
+									: 2000;
 		}
 		scale_plan(&in, z, 4);
 		for (i = 0; i < 4; i++) {
-			const int all = z[i].want_firm + z[i].want_spot;
+			const int all = z[i].want_on_demand + z[i].want_spot;
 
 			CU_ASSERT(all >= in.min && all <= in.max);
 		}
@@ -751,11 +757,12 @@
 	int i;
 
 	for (i = 0; i < 4; i++) {
-		w->z[i].firm = w->firm[i].running;
-		w->z[i].firm_coming = w->room_kept ? w->firm[i].nr_starts : 0;
+		w->z[i].on_demand = w->firm[i].running;
+		w->z[i].on_demand_starting = w->room_kept ? w->firm[i].nr_starts
+							  : 0;
 		w->z[i].spot = w->spot[i].running;
-		w->z[i].spot_coming = w->spot[i].nr_starts;
-		w->z[i].spot_dry_ms = w->dry_until[i];
+		w->z[i].spot_starting = w->spot[i].nr_starts;
+		w->z[i].no_spot_until_ms = w->dry_until[i];
 	}
 }
 
@@ -768,10 +775,11 @@
 	for (i = 0; i < 4; i++) {
 		const struct scale_zone *z = &w->z[i];
 
-		running += z->firm + z->spot;
-		kept += z->want_firm < z->firm ? z->want_firm : z->firm;
+		running += z->on_demand + z->spot;
+		kept += z->want_on_demand < z->on_demand ? z->want_on_demand
+							 : z->on_demand;
 		kept += z->want_spot < z->spot ? z->want_spot : z->spot;
-		CU_ASSERT(z->want_firm + z->want_spot <= w->in.max);
+		CU_ASSERT(z->want_on_demand + z->want_spot <= w->in.max);
 	}
 	w->given_up_early += kept < (running < cover ? running : cover);
 }
@@ -788,13 +796,14 @@
 	maybe_reclaim(w);
 	fill_zones(w);
 	if (!w->room_kept)
-		w->in.idle = true;
+		w->in.no_load_yet = true;
 	scale_plan(&w->in, w->z, 4);
 	check_kept(w);
 	for (i = 0; i < 4; i++) {
 		const bool dry = now < w->dry_until[i];
 
-		follow_order(&w->firm[i], w->z[i].want_firm, now + w->boot_ms);
+		follow_order(&w->firm[i], w->z[i].want_on_demand,
+			     now + w->boot_ms);
 		if (!dry || w->z[i].want_spot < w->spot[i].running)
 			follow_order(&w->spot[i], w->z[i].want_spot,
 				     now + w->boot_ms);
--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -343,7 +343,7 @@
 	if (w.twin == REVISIONS_ALONE)
 		return;
 	if (w.twin != ACTS_AT_ONCE)
-		lead_returned(&x->lead, LEASE, w.now);
+		lead_on_store_restored(&x->lead, LEASE, w.now);
 	x->until = 0;
 }
 
@@ -351,10 +351,12 @@
 {
 	learn_era(x);
 	if (w.key.holder < 0)
-		lead_vacant(&x->lead, fence_version(w.revision), w.now);
+		lead_on_key_deleted(&x->lead, fence_version(w.revision), w.now);
 	else
-		lead_seen(&x->lead, w.key.holder == n ? LEAD_MINE : LEAD_OTHERS,
-			  fence_version(w.key.rev), w.now);
+		lead_on_key(&x->lead,
+			    w.key.holder == n ? LEAD_OWNER_SELF
+					      : LEAD_OWNER_OTHER,
+			    fence_version(w.key.rev), w.now);
 }
 
 static void write_arrives(struct node *x, int n)
@@ -369,9 +371,10 @@
 	}
 	learn_era(x);
 	if (rnd_below(&w.rnd, 4))
-		lead_tried(&x->lead, done, fence_version(w.key.rev), w.now);
+		lead_end_acquire(&x->lead, done, fence_version(w.key.rev),
+				 w.now);
 	else
-		lead_tried(&x->lead, false, 0, w.now);
+		lead_end_acquire(&x->lead, false, 0, w.now);
 }
 
 /* The lease runs on in the store; its answer may be late. */
@@ -379,7 +382,7 @@
 {
 	if (w.key.holder == n)
 		w.key.lease_end = w.now + LEASE;
-	else if (x->lead.mine)
+	else if (x->lead.is_holder)
 		return;
 	x->renewal_asked = w.now;
 	x->renewal_due =
@@ -418,8 +421,10 @@
 	}
 	if (!away && !x->renewal_due && (w.now + n * 200) % 900 < STEP)
 		renew(x, n);
-	if (!x->write_due && lead_try(&x->lead, n, w.now + LEASE, w.now)) {
-		x->write_expected = ver_revision(lead_expected(&x->lead));
+	if (!x->write_due &&
+	    lead_begin_acquire(&x->lead, n, w.now + LEASE, w.now)) {
+		x->write_expected =
+			ver_revision(lead_expected_revision(&x->lead));
 		/* It may be done seconds later, if its condition holds. */
 		x->write_due =
 			w.now + 4 +
