--- a/lib/duty/lead.c
+++ b/lib/duty/lead.c
@@ -2,11 +2,12 @@
 
 #include <string.h>
 
-void lead_init(struct lead *l, int64_t away_ms, int64_t now)
+void lead_init(struct lead *l, int64_t holdoff_ms, int64_t now)
 {
 	memset(l, 0, sizeof(*l));
-	l->holdoff_ms = away_ms;
-	l->not_before_ms = now + (away_ms ? away_ms : LEAD_FIRST_START_MS);
+	l->holdoff_ms = holdoff_ms;
+	l->not_before_ms =
+		now + (holdoff_ms ? holdoff_ms : LEAD_FIRST_START_MS);
 	l->vacant_since_ms = l->not_before_ms;
 }
 
@@ -19,15 +20,15 @@
 	l->not_before_ms = now + l->holdoff_ms;
 }
 
-void lead_on_key(struct lead *l, enum lead_owner whose, int64_t revision,
+void lead_on_key(struct lead *l, enum lead_owner owner, int64_t revision,
 		 int64_t now)
 {
 	if (l->is_holder && revision < l->fence)
 		return;
 	l->key_exists = true;
-	l->previous_boot_revision = whose == LEAD_OWNER_PREVIOUS_BOOT ? revision
+	l->previous_boot_revision = owner == LEAD_OWNER_PREVIOUS_BOOT ? revision
 								      : 0;
-	if (whose != LEAD_OWNER_SELF) {
+	if (owner != LEAD_OWNER_SELF) {
 		step_down(l, now);
 		return;
 	}
@@ -49,24 +50,24 @@
 	step_down(l, now);
 }
 
-static int64_t turn_of(int place)
+static int64_t rank_delay_ms(int rank)
 {
-	return place < 0 ? LEAD_UNRANKED_DELAY_MS
-			 : (int64_t)place * LEAD_RANK_DELAY_MS;
+	return rank < 0 ? LEAD_UNRANKED_DELAY_MS
+			: (int64_t)rank * LEAD_RANK_DELAY_MS;
 }
 
-static bool due(const struct lead *l, int place, int64_t now)
+static bool may_acquire(const struct lead *l, int rank, int64_t now)
 {
 	if (l->previous_boot_revision)
 		return now >= l->takeover_not_before_ms;
 	return !l->key_exists && now >= l->not_before_ms &&
-	       now >= l->vacant_since_ms + turn_of(place);
+	       now >= l->vacant_since_ms + rank_delay_ms(rank);
 }
 
-bool lead_begin_acquire(struct lead *l, int place, int64_t lease_until,
+bool lead_begin_acquire(struct lead *l, int rank, int64_t lease_until,
 			int64_t now)
 {
-	if (l->acquiring || !due(l, place, now))
+	if (l->acquiring || !may_acquire(l, rank, now))
 		return false;
 	if (now >= lease_until - LEAD_MARGIN_MS)
 		return false;
@@ -79,11 +80,12 @@
 	return l->previous_boot_revision;
 }
 
-void lead_end_acquire(struct lead *l, bool taken, int64_t revision, int64_t now)
+void lead_end_acquire(struct lead *l, bool acquired, int64_t revision,
+		      int64_t now)
 {
 	l->acquiring = false;
 	l->takeover_not_before_ms = now + LEAD_RETRY_MS;
-	if (taken)
+	if (acquired)
 		lead_on_key(l, LEAD_OWNER_SELF, revision, now);
 	else if (l->not_before_ms < now + LEAD_RETRY_MS)
 		l->not_before_ms = now + LEAD_RETRY_MS;
--- a/lib/duty/lead.h
+++ b/lib/duty/lead.h
@@ -1,15 +1,21 @@
 /*
- * lead: whether this entry holds the duties that one entry may do at a time.
+ * lead: leader election for the duties, the periodic tasks that one elected
+ * entry performs for all (ordering endpoints, reporting usage).
  *
- * The holder is named by a key in the store that is bound to the lease of
- * its registration; the fence is the revision at which the key was written.
- * The holder acts only while it can prove that its lease runs, counted from
- * before the renewal was sent, on the clock that counts suspension. A new
- * holder waits until calls of the one before it have arrived or failed.
+ * An entry is one of the processes that accept client requests. The holder of
+ * the duties is named by a key in the store that is bound to the lease of the
+ * holder's registration. The revision at which the key was written is the
+ * fencing token of all calls that the duties make.
  *
- * What goes wrong without it: an entry that was frozen wakes, acts as if it
- * still held the duty, and its call arrives after its successor's, with a
- * lower fence.
+ * The holder acts only while its lease provably runs: the lease is counted from
+ * before the renewal was sent, on a clock that includes suspension. A new
+ * holder waits until calls of its predecessor have arrived or failed.
+ *
+ * This guards against an entry that is suspended while it holds the duties: it
+ * resumes, acts as if it were still the holder, and its call arrives after one
+ * of its successor, with a lower fencing token.
+ *
+ * Not thread-safe; performs no I/O. All times are in ms on the same clock.
  */
 #ifndef LEAD_H
 #define LEAD_H
@@ -18,99 +24,117 @@
 #include <stdint.h>
 
 /*
- * Calls on the way when the lease ran out have arrived by then: 50 times the
- * platform's usual 4 ms, and the time our own calls are given is cut to it.
+ * A new holder waits for this time, ms, before it acts. By then the calls that
+ * its predecessor had in flight when the lease expired have arrived: it allows
+ * for 50 times the 4 ms that a call to the platform usually takes, and the
+ * timeout of a duty's calls is cut to fit.
  */
 #define LEAD_SETTLE_MS 700
 
-/* The holder stops so long before its lease can end. */
+/* The holder stops acting this long before its lease can expire, ms. */
 #define LEAD_MARGIN_MS 500
 
 /*
- * Who takes a vacant duty first: the entry that ranks first at once, the next
- * ones so much later each, those without a place after all of these. When all
- * tried at once, and again until they heard who had it, 84 entries made 500
- * writes of which one could succeed.
+ * Entries take a vacant key in order of rank: the first one at once, each next
+ * one LEAD_RANK_DELAY_MS later, entries without a rank after
+ * LEAD_UNRANKED_DELAY_MS. Without these delays, and with retries until the new
+ * holder was known, 84 entries made 500 writes of which one could succeed.
  */
 #define LEAD_RANK_DELAY_MS 300
 #define LEAD_UNRANKED_DELAY_MS 1500
 
-/* After a try that did not succeed: by then the holder's key is seen. */
+/* Delay after a failed attempt, ms; by then the new holder's key is visible. */
 #define LEAD_RETRY_MS 900
 
 /*
- * At the very first start entries hear of each other within this time: they
- * ask who is registered after 0.7 s, and tell all in turn in 0.6 s, busy as
- * they are. Tried sooner, most of 295 took themselves for the first one.
+ * No attempt within this time, ms, of the very first start. Entries discover
+ * each other meanwhile: they list the registrations after 0.7 s, and gossip
+ * reaches all within 0.6 s, even on busy machines. With a shorter delay most of
+ * 295 entries considered themselves first in rank.
  */
 #define LEAD_FIRST_START_MS 2500
 
 /* Whom the store's key names. */
 enum lead_owner {
-	LEAD_OWNER_OTHER, /* another entry */
-	LEAD_OWNER_SELF,  /* this boot */
-	LEAD_OWNER_PREVIOUS_BOOT, /* this entry, in a boot before this one, which is dead */
+	LEAD_OWNER_OTHER,	  /* another entry */
+	LEAD_OWNER_SELF,	  /* this entry, this boot */
+	LEAD_OWNER_PREVIOUS_BOOT, /* this entry, before its last restart */
 };
 
 struct lead {
-	int64_t holdoff_ms;	 /* after holding, or after the start */
-	bool key_exists;	 /* the key stands, as far as we know */
-	bool is_holder;		 /* and names this boot */
-	int64_t fence;		 /* its revision, if ours */
-	int64_t held_since_ms;	 /* we hold it */
-	int64_t not_before_ms;	 /* no attempt to take it before */
-	int64_t vacant_since_ms; /* nobody holds it since, as far as we know */
-	int64_t previous_boot_revision; /* revision that our former boot wrote; 0: none */
-	int64_t takeover_not_before_ms; /* it is not tried again before */
-	bool acquiring;			/* a write to take it is under way */
-	int64_t no_act_before_ms; /* nobody acts before, since the store came back */
+	int64_t holdoff_ms; /* delay after holding, or after a restart */
+	bool key_exists;    /* as last seen */
+	bool is_holder;	    /* the key names this boot, as last seen */
+	int64_t fence;	    /* the key's revision; 0 unless is_holder */
+	int64_t held_since_ms;
+	int64_t not_before_ms;	 /* no attempt to take a vacant key before */
+	int64_t vacant_since_ms; /* when the key was last seen to be deleted */
+	int64_t previous_boot_revision; /* of a key that a previous boot of this
+					   entry wrote; 0: none */
+	int64_t takeover_not_before_ms; /* next attempt to take over that key */
+	bool acquiring;			/* a write of the key is in flight */
+	int64_t no_act_before_ms;	/* set when the store is restored from a
+				     copy */
 };
 
 /*
- * `away_ms`: a former holder, also one that starts again, stays away so
- * long.
+ * Initializes `l`. `holdoff_ms`: no attempt to take the key for this time after
+ * the start and after losing the key; 0: very first start, which waits for
+ * LEAD_FIRST_START_MS instead.
  */
-void lead_init(struct lead *l, int64_t away_ms, int64_t now_ms);
+void lead_init(struct lead *l, int64_t holdoff_ms, int64_t now_ms);
 
-/* The store's key, as seen: its revision and whom it names. */
-void lead_on_key(struct lead *l, enum lead_owner whose, int64_t revision,
+/*
+ * Processes a read of the key: its revision and whom it names. A revision below
+ * that of our own write is outdated and ignored.
+ */
+void lead_on_key(struct lead *l, enum lead_owner owner, int64_t revision,
 		 int64_t now_ms);
 
-/* The key was gone at `revision`. Words older than our own write are late. */
+/*
+ * Processes the deletion of the key at `revision`. A revision below that of our
+ * own write is outdated and ignored.
+ */
 void lead_on_key_deleted(struct lead *l, int64_t revision, int64_t now_ms);
 
 /*
- * True if the key should be written now, under the condition that its
- * revision is still lead_expected_revision(). A key that our former boot left is taken
- * over at once: nobody else has acted since, or it would name another. When
- * all entries were killed at once nobody ordered endpoints for five seconds
- * without that: the lease had to run out first.
+ * Returns true if the caller must now write the key, on condition that the
+ * key's revision is still lead_expected_revision(); report the result with
+ * lead_end_acquire(). Returns false while an attempt is in flight.
+ *
+ * `rank`: of this entry among those that should hold the duties, from 0;
+ * -1: none. `lease_until_ms`: end of this entry's lease as far as it is proven.
  *
- * `place`: ours among those that should hold it, from 0; -1: none.
- * `lease_until_ms`: our lease is known to run until then.
+ * A key that a previous boot of this entry wrote is taken over without delay:
+ * no other entry has acted since, or the key would name it. Otherwise the lease
+ * would have to expire first; when all entries were killed at once, no
+ * endpoints were ordered for five seconds.
  */
-bool lead_begin_acquire(struct lead *l, int place, int64_t lease_until_ms,
+bool lead_begin_acquire(struct lead *l, int rank, int64_t lease_until_ms,
 			int64_t now_ms);
 
-/* The revision that the key must have when it is written; 0: none stands. */
+/* Returns the revision that the key must have when written; 0: no key. */
 int64_t lead_expected_revision(const struct lead *l);
 
-/* The write ended: `taken` with its revision, or not (or unknown: then the
- * key itself will show). */
-void lead_end_acquire(struct lead *l, bool taken, int64_t revision,
+/*
+ * Ends an attempt. `acquired`: the write succeeded at `revision`; false: it
+ * failed or its result is unknown. In the latter case lead_on_key() reports the
+ * key if it was written after all.
+ */
+void lead_end_acquire(struct lead *l, bool acquired, int64_t revision,
 		      int64_t now_ms);
 
-/* The lease ended: the key is lost with it. */
+/* The lease of the registration expired or was lost, and the key with it. */
 void lead_on_lease_lost(struct lead *l, int64_t now_ms);
 
 /*
- * The store came back from an older copy: the key may name a former holder
- * again, while the last one still proves its lease of before. Whoever holds
- * the duty now acts after `lease_ms`, when that proof has run out.
+ * The store was restored from an older copy: the key may name a former holder
+ * again, while the last holder still relies on its lease from before. No holder
+ * acts for the next `lease_ms`, after which that lease has expired.
  */
 void lead_on_store_restored(struct lead *l, int64_t lease_ms, int64_t now_ms);
 
-/* True if a call of a duty may be sent now. */
+/* Returns true if a duty's call may be sent now. */
 bool lead_may_act(const struct lead *l, int64_t lease_until_ms, int64_t now_ms);
 
 #endif
--- a/lib/duty/saved_plan.c
+++ b/lib/duty/saved_plan.c
@@ -5,11 +5,11 @@
 
 #include "base/jsn.h"
 
-/* A change below this part is within what the need moves in a few seconds. */
-#define WORTH_PART 0.15
+/* Relative change worth a write; the need varies by less in a few seconds. */
+#define MIN_RELATIVE_CHANGE 0.15
 
-/* No plan asks for more: a figure beyond is no plan of ours. */
-#define MOST_NEED 100000.0
+/* Endpoints; no plan needs more, so a larger figure is rejected as invalid. */
+#define MAX_NEED 100000.0
 
 const struct saved_plan_row *saved_plan_find(const struct saved_plan *c,
 					     const char *service)
@@ -55,9 +55,9 @@
 	buf_str(out, "]}");
 }
 
-static bool sound(double v)
+static bool is_valid_figure(double v)
 {
-	return isfinite(v) && v >= 0 && v <= MOST_NEED;
+	return isfinite(v) && v >= 0 && v <= MAX_NEED;
 }
 
 static bool decode_row(struct json_object *o, struct saved_plan *out)
@@ -74,8 +74,9 @@
 	row->need.baseline = jsn_dbl(o, "usual", -1);
 	row->on_demand_held = jsn_dbl(o, "firm", -1);
 	row->need.load_seen = true;
-	return sound(row->need.need) && row->need.need > 0 &&
-	       sound(row->need.baseline) && sound(row->on_demand_held);
+	return is_valid_figure(row->need.need) && row->need.need > 0 &&
+	       is_valid_figure(row->need.baseline) &&
+	       is_valid_figure(row->on_demand_held);
 }
 
 bool saved_plan_decode(const char *text, size_t len, struct saved_plan *out)
@@ -98,7 +99,7 @@
 
 static bool differs(double a, double b)
 {
-	return fabs(a - b) > WORTH_PART * b;
+	return fabs(a - b) > MIN_RELATIVE_CHANGE * b;
 }
 
 bool saved_plan_differs(const struct saved_plan *now,
--- a/lib/duty/saved_plan.h
+++ b/lib/duty/saved_plan.h
@@ -1,7 +1,9 @@
 /*
- * carry: the plan of the holder of the duties, kept in the store for the next
- * holder. Without it each new holder would start from a guess and order
- * endpoints, or remove them, only to undo that a second later.
+ * saved_plan: the scaling plan of the holder of the duties, saved in the store
+ * for its successor. Without it each new holder would start from a guess and
+ * order or remove endpoints, only to undo that a second later.
+ *
+ * The stored form is JSON. Not thread-safe; performs no I/O.
  */
 #ifndef SAVED_PLAN_H
 #define SAVED_PLAN_H
@@ -12,12 +14,13 @@
 #include "base/buf.h"
 #include "duty/scale.h"
 
+/* Services in one record. */
 #define SAVED_PLAN_MAX_SERVICES 8
 
 struct saved_plan_row {
 	char service[SCALE_NAME];
-	struct scale_need need;
-	double on_demand_held; /* on-demand endpoints, see scale_limit_drain */
+	struct scale_need need; /* see scale_update_need() */
+	double on_demand_held;	/* endpoints, see scale_limit_drain() */
 };
 
 struct saved_plan {
@@ -25,20 +28,31 @@
 	size_t nr_rows;
 };
 
-/* The row of a service; NULL: there is none. */
+/* Returns the row of a service, or NULL if there is none. */
 const struct saved_plan_row *saved_plan_find(const struct saved_plan *c,
 					     const char *service);
 
-/* The same, made if there is room; NULL: there is none. */
+/*
+ * Returns the row of a service and adds it if it is missing. Returns NULL if
+ * the record has SAVED_PLAN_MAX_SERVICES rows already.
+ */
 struct saved_plan_row *saved_plan_row(struct saved_plan *c,
 				      const char *service);
 
+/* Appends the record to `out` as JSON. */
 void saved_plan_encode(const struct saved_plan *c, struct buf *out);
 
-/* False, and an empty record, if the text makes no sense. */
+/*
+ * Parses `len` bytes of JSON. Returns false and empties `out` if the text is
+ * malformed or a figure is out of range.
+ */
 bool saved_plan_decode(const char *text, size_t len, struct saved_plan *out);
 
-/* True if the plans differ enough to write the record again. */
+/*
+ * Returns true if a need or baseline of `now` differs by more than 15 % from
+ * that of `written`, or the services differ, so that the record should be
+ * written again. on_demand_held is not compared.
+ */
 bool saved_plan_differs(const struct saved_plan *now,
 			const struct saved_plan *written);
 
--- a/lib/duty/scale.h
+++ b/lib/duty/scale.h
@@ -1,11 +1,14 @@
 /*
- * scale: how many endpoints of a service to order in each zone.
+ * scale: plans how many spot and on-demand endpoints of a service to order in
+ * each zone.
  *
  * Spot endpoints cost a fraction of on-demand ones, but a whole zone of them
  * can be reclaimed at two seconds' notice, several zones in a row, with no
- * capacity available for many seconds. So most are spot, spread over all zones;
- * on-demand ones are ordered for as long as spot ones are missing. No endpoint
- * that runs is removed before its successor serves.
+ * capacity available for many seconds. So most endpoints are spot, spread over
+ * all zones, and on-demand ones are ordered for as long as spot capacity is
+ * missing. No running endpoint is removed before its replacement serves.
+ *
+ * Pure functions: no I/O, the clock is passed in.
  */
 #ifndef SCALE_H
 #define SCALE_H
@@ -14,61 +17,64 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define SCALE_ZONES 16
-#define SCALE_NAME 64
+#define SCALE_ZONES 16 /* zones of one plan */
+#define SCALE_NAME 64  /* buffer size of a name, bytes */
 
+/* Endpoints of one service in one zone, and the plan for them. */
 struct scale_zone {
 	char name[SCALE_NAME];
-	double price;
+	double price;			       /* relative to other zones */
 	int on_demand, spot;		       /* usable now, by kind */
-	int on_demand_starting, spot_starting; /* granted, still starting */
-	int on_demand_other_version,
-		spot_other_version; /* of other versions; not part of the plan */
-	int64_t no_on_demand_until_ms,
-		no_spot_until_ms;      /* unavailable until; 0: available */
-	int want_on_demand, want_spot; /* the plan */
+	int on_demand_starting, spot_starting; /* granted, not usable yet */
+	/* Usable endpoints of other versions; not part of the plan. */
+	int on_demand_other_version, spot_other_version;
+	/* Orders are refused for lack of capacity until then; 0: available. */
+	int64_t no_on_demand_until_ms, no_spot_until_ms;
+	int want_on_demand, want_spot; /* the plan, output */
 };
 
 struct scale_input {
-	int min, max;	   /* of both kinds together, in each zone */
-	double need;	   /* endpoints that are planned for */
-	double busy;	   /* of them, those that the load keeps busy */
-	bool no_load_yet;  /* no request has come yet */
-	int min_on_demand; /* of on-demand ones (see scale_limit_drain) */
-	double spot_price; /* as part of the price; 0: no spot ones */
+	int min, max; /* endpoints of both kinds, in each zone */
+	double need;  /* endpoints to plan for */
+	double busy;  /* endpoints that the load keeps busy, at most `need` */
+	bool no_load_yet;  /* no request has arrived yet */
+	int min_on_demand; /* lower bound; see scale_limit_drain() */
+	double spot_price; /* relative to the on-demand price; 0: no spot */
 	int64_t now_ms;
-	bool price_cover; /* more spot ones than needed, by price */
-	bool loss_cover;  /* stand by for the next reclaim */
-	bool ease;	  /* on-demand ones drain one after the other */
+	bool price_cover; /* order more spot than needed, the more the cheaper */
+	bool loss_cover;  /* keep spare endpoints for the next zone reclaim */
+	bool ease;	  /* drain on-demand endpoints one after the other */
 };
 
-/* Endpoints that the load keeps busy, carried from sample to sample. */
+/* Endpoints that the load keeps busy, smoothed from sample to sample. */
 struct scale_need {
-	double need;	 /* 0: not known yet */
-	double baseline; /* the same while endpoints were not crowded, fading */
-	bool load_seen;	 /* some load was seen */
+	double need;	 /* endpoints; 0: no sample yet */
+	double baseline; /* its average over uncrowded samples */
+	bool load_seen;	 /* a sample had load */
 };
 
 /*
- * Takes in a sample of the load: it keeps `load` endpoints busy, and `usable`
- * are there. `first` is taken for the need until there was some load.
+ * Updates `n` by a sample: `load`, the endpoints that the load keeps busy, and
+ * `usable`, the endpoints that exist. Until there was any load the need is
+ * `initial`.
  *
- * The need rises at once and falls slowly. After a reclaim requests queue at
- * the endpoints that are left; that is no load of the callers. So while
- * endpoints are crowded the need is bounded by the usual one.
+ * The need rises at once and falls slowly. After a reclaim, requests queue at
+ * the remaining endpoints, and that queue is not client load. So while
+ * endpoints are crowded, the need is bounded by a multiple of the baseline.
  */
 void scale_update_need(struct scale_need *n, double load, int usable,
-		       double first);
+		       double initial);
 
 /*
- * On-demand endpoints drain one after the other: their successors begin with
- * empty prompt caches, and reading all shared prefixes at once would stall
- * everyone. `held` is carried from sample to sample; returns the new figure,
- * which is the next min_on_demand.
+ * Limits how fast on-demand endpoints drain: replacements start with empty
+ * prefix caches, and if all of them read the shared prefixes at once, every
+ * request would stall. `held`: the previous result; `wanted`: on-demand
+ * endpoints that the plan asks for; `since_ms`: time since the previous call.
+ * Returns the new lower bound, to be used as min_on_demand.
  */
 double scale_limit_drain(double held, int wanted, int64_t since_ms);
 
-/* Fills in want_on_demand and want_spot of each zone. */
+/* Sets want_on_demand and want_spot of each zone. */
 void scale_plan(const struct scale_input *in, struct scale_zone *zones,
 		size_t nr_zones);
 
--- a/lib/duty/usage.c
+++ b/lib/duty/usage.c
@@ -52,7 +52,7 @@
 	return row;
 }
 
-/* uthash's macro counts as fifty statements of ours. */
+/* clang-tidy counts the expansion of HASH_ADD as fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static struct usage_row *add(struct usage *u, const struct usage_key *k,
 			     const char *account)
--- a/lib/duty/usage.h
+++ b/lib/duty/usage.h
@@ -1,10 +1,13 @@
 /*
- * usage: how many requests of each account began to run in each window of
- * the time of day, counted at every entry, known at all.
+ * usage: the number of requests of each account that began to run in each
+ * window of the time of day. Every entry counts its own requests and learns the
+ * counts of all others by gossip.
  *
- * Counts of an entry only grow within a window and a boot, so a later word
- * of it replaces an earlier one and a lost datagram costs nothing. What a
- * dead entry told stays.
+ * A source is one boot of one entry. Its counts only grow within a window, so
+ * the merge takes the maximum, and a lost or reordered datagram does no harm.
+ * Counts of a crashed entry are kept.
+ *
+ * Not thread-safe; performs no I/O. Aborts when out of memory.
  */
 #ifndef USAGE_H
 #define USAGE_H
@@ -13,44 +16,54 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* Buffer size of an account's name, bytes; longer names are truncated. */
 #define USAGE_NAME 64
 
 struct usage_row;
 
 struct usage {
-	int64_t window_ms;
-	struct usage_row *rows; /* uthash */
+	int64_t window_ms;	/* length of a window */
+	struct usage_row *rows; /* uthash table */
 };
 
 struct usage_total {
 	char account[USAGE_NAME];
-	int64_t runs;
+	int64_t runs; /* requests that began to run */
 };
 
+/* Initializes an empty table; `window_ms` must be above 0. */
 void usage_init(struct usage *u, int64_t window_ms);
+
+/* Frees all rows. */
 void usage_free(struct usage *u);
 
-/* The number of the window that holds a time of day. */
+/* Returns the number of the window that contains a time of day, ms. */
 int64_t usage_window(const struct usage *u, int64_t true_ms);
 
-/* One more run, counted at this entry (`source`: a hash of name and boot). */
+/*
+ * Counts one more run at this entry. `source`: a hash of the entry's name and
+ * boot.
+ */
 void usage_add(struct usage *u, uint64_t source, int64_t window,
 	       const char *account);
 
-/* A source tells its count. */
+/* Merges a count received from another source: the larger count is kept. */
 void usage_merge(struct usage *u, uint64_t source, int64_t window,
 		 const char *account, int64_t runs);
 
-/* Calls `each` for all rows from window `from` on. */
+/* Calls `each` for all rows of window `from` and later ones. */
 typedef void (*usage_fn)(uint64_t source, int64_t window, const char *account,
 			 int64_t runs, void *arg);
 void usage_each(const struct usage *u, int64_t from, usage_fn each, void *arg);
 
-/* Sums a window over all sources; returns the number of accounts. */
+/*
+ * Sums the runs of a window over all sources. Writes at most `max` accounts to
+ * `out`; further ones are left out. Returns the number written.
+ */
 size_t usage_sum(const struct usage *u, int64_t window, struct usage_total *out,
 		 size_t max);
 
-/* Forgets windows before `from`. */
+/* Frees the rows of windows before `from`. */
 void usage_drop_before(struct usage *u, int64_t from);
 
 #endif
--- a/lib/duty/walltime.c
+++ b/lib/duty/walltime.c
@@ -12,7 +12,7 @@
 	return boot_ms + t->offset_ms;
 }
 
-static int order(const void *a, const void *b)
+static int compare_int64(const void *a, const void *b)
 {
 	const int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
 
@@ -21,15 +21,15 @@
 
 int64_t walltime_correct(struct walltime *t, int64_t *ahead_ms, size_t n)
 {
-	int64_t middle;
+	int64_t median;
 
-	/* With fewer than two others nobody can tell who is wrong. */
+	/* With two estimates it is unknown which one is wrong. */
 	if (n < 3)
 		return 0;
-	qsort(ahead_ms, n, sizeof(*ahead_ms), order);
-	middle = ahead_ms[n / 2];
-	if (middle > -WALLTIME_TOLERANCE_MS && middle < WALLTIME_TOLERANCE_MS)
+	qsort(ahead_ms, n, sizeof(*ahead_ms), compare_int64);
+	median = ahead_ms[n / 2];
+	if (median > -WALLTIME_TOLERANCE_MS && median < WALLTIME_TOLERANCE_MS)
 		return 0;
-	t->offset_ms += middle;
-	return middle;
+	t->offset_ms += median;
+	return median;
 }
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -1,4 +1,4 @@
-/* Duties: one holder at a time, exact counts, the plan of endpoints. */
+/* Tests of the duties: leader election, usage counts, wall time, scaling. */
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 #include "duty/usage.h"
 #include "support/unit.h"
 
-/* ---- The holder ---- */
+/* ---- Leader election ---- */
 
 #define NODES 4
 #define LEASE 3000
@@ -20,19 +20,20 @@
 
 struct node {
 	struct lead lead;
-	int64_t until;	     /* what it knows of its lease */
-	int64_t frozen_till; /* it does nothing before */
-	int64_t renewal;     /* answer under way, asked then; 0: none */
-	int64_t watch_at;    /* its watch catches up then; 0: it is up */
-	int boot;	     /* rises with each start */
-	bool down;
+	int64_t until;	      /* proven end of its lease */
+	int64_t frozen_until; /* suspended until then */
+	int64_t renewal;      /* send time of a renewal in flight; 0: none */
+	int64_t watch_at;     /* its watch catches up then; 0: up to date */
+	int boot;	      /* incremented with each start */
+	bool down;	      /* crashed; restarts at frozen_until */
 };
 
+/* The platform that receives the duties' calls, and what it checks. */
 struct cloud {
 	int64_t last_fence;
-	int last_holder, before_holder;
-	int64_t last_ms, before_ms;
-	unsigned broken;
+	int last_holder, previous_holder;
+	int64_t last_ms, previous_ms;
+	unsigned violations;
 };
 
 struct world {
@@ -41,7 +42,7 @@
 	int holder_boot;
 	int64_t fence, lease_end, revision;
 	struct cloud cloud;
-	int64_t margin; /* of the broken twin: 0 */
+	int64_t margin; /* subtracted from each lease; negative: violations */
 };
 
 static void act(struct world *w, int n, int64_t now)
@@ -49,15 +50,15 @@
 	struct cloud *c = &w->cloud;
 	const int64_t fence = w->nodes[n].lead.fence;
 
-	c->broken += fence < c->last_fence;
-	c->broken += fence == c->last_fence && n != c->last_holder &&
-		     c->last_ms;
-	/* Holders in the order A, B, A within the lease. */
-	c->broken += n != c->last_holder && n == c->before_holder &&
-		     now - c->before_ms < LEASE && c->before_ms;
+	c->violations += fence < c->last_fence;
+	c->violations += fence == c->last_fence && n != c->last_holder &&
+			 c->last_ms;
+	/* Calls of holders A, B, A within one lease time. */
+	c->violations += n != c->last_holder && n == c->previous_holder &&
+			 now - c->previous_ms < LEASE && c->previous_ms;
 	if (n != c->last_holder) {
-		c->before_holder = c->last_holder;
-		c->before_ms = c->last_ms;
+		c->previous_holder = c->last_holder;
+		c->previous_ms = c->last_ms;
 	}
 	c->last_holder = n;
 	c->last_ms = now;
@@ -73,13 +74,14 @@
 	w->holder = -1;
 	w->revision++;
 	for (i = 0; i < NODES; i++) {
-		if (now >= w->nodes[i].frozen_till && !w->nodes[i].watch_at)
+		if (now >= w->nodes[i].frozen_until && !w->nodes[i].watch_at)
 			lead_on_key_deleted(&w->nodes[i].lead, w->revision,
 					    now);
 	}
 }
 
-static enum lead_owner whose(const struct world *w, const struct node *x, int n)
+static enum lead_owner owner_of(const struct world *w, const struct node *x,
+				int n)
 {
 	if (w->holder != n)
 		return LEAD_OWNER_OTHER;
@@ -87,13 +89,13 @@
 					 : LEAD_OWNER_PREVIOUS_BOOT;
 }
 
-/* A frozen node's watch catches up when it wakes. */
+/* The watch of a node delivers the current state of the key. */
 static void catch_up(struct world *w, struct node *x, int n, int64_t now)
 {
 	if (w->holder < 0)
 		lead_on_key_deleted(&x->lead, w->revision, now);
 	else
-		lead_on_key(&x->lead, whose(w, x, n), w->fence, now);
+		lead_on_key(&x->lead, owner_of(w, x, n), w->fence, now);
 }
 
 static void renew(struct world *w, struct node *x, int n, int64_t now,
@@ -101,7 +103,7 @@
 {
 	if (w->holder == n && now < w->lease_end) {
 		w->lease_end = now + LEASE;
-		/* The clock runs from before the call was sent. */
+		/* The lease counts from before the call was sent. */
 		if (!late)
 			x->until = now + LEASE;
 		else
@@ -113,7 +115,7 @@
 {
 	struct node *x = &w->nodes[n];
 
-	if (now < x->frozen_till)
+	if (now < x->frozen_until)
 		return;
 	if (x->renewal) {
 		x->until = x->renewal + LEASE;
@@ -137,7 +139,7 @@
 			w->lease_end = now + LEASE;
 			x->until = now + LEASE;
 		}
-		/* The answer may be lost; the watch then shows the key. */
+		/* The answer may be lost; then the watch delivers the key. */
 		if (rnd_below(rnd, 4)) {
 			lead_end_acquire(&x->lead, free_now, w->fence, now);
 		} else {
@@ -152,7 +154,7 @@
 		act(w, n, now);
 }
 
-static unsigned schedule(uint64_t seed, bool broken_twin)
+static unsigned schedule(uint64_t seed, bool broken_variant)
 {
 	struct world w;
 	struct rnd rnd;
@@ -162,9 +164,9 @@
 	memset(&w, 0, sizeof(w));
 	rnd_seed(&rnd, seed);
 	w.holder = -1;
-	w.cloud.last_holder = w.cloud.before_holder = -1;
-	/* The twin believes its lease for two seconds too long. */
-	w.margin = broken_twin ? -2000 : 0;
+	w.cloud.last_holder = w.cloud.previous_holder = -1;
+	/* The violations variant trusts its lease two seconds too long. */
+	w.margin = broken_variant ? -2000 : 0;
 	for (n = 0; n < NODES; n++)
 		lead_init(&w.nodes[n].lead, AWAY, 1);
 	for (now = 10; now < 40000; now += 10) {
@@ -172,11 +174,12 @@
 		for (n = 0; n < NODES; n++) {
 			struct node *x = &w.nodes[n];
 
-			/* The watch of one that wakes needs a while. */
-			if (x->frozen_till > now - 10 && x->frozen_till <= now)
+			/* After a suspension the watch is late at first. */
+			if (x->frozen_until > now - 10 &&
+			    x->frozen_until <= now)
 				x->watch_at = now + rnd_below(&rnd, 1500);
 			if (x->watch_at && now >= x->watch_at &&
-			    now >= x->frozen_till) {
+			    now >= x->frozen_until) {
 				x->watch_at = 0;
 				catch_up(&w, x, n, now);
 			}
@@ -184,38 +187,38 @@
 		}
 		n = (int)rnd_below(&rnd, NODES);
 		if (!rnd_below(&rnd, 400)) {
-			w.nodes[n].frozen_till =
+			w.nodes[n].frozen_until =
 				now + 500 + rnd_below(&rnd, 6000);
 			w.nodes[n].down = rnd_below(&rnd, 2);
 		}
 	}
-	return w.cloud.broken;
+	return w.cloud.violations;
 }
 
-static void one_holder_on_every_schedule(void)
+static void at_most_one_holder(void)
 {
-	unsigned broken = 0;
+	unsigned violations = 0;
 	uint64_t seed;
 
 	for (seed = 1; seed <= unit_seeds(300); seed++)
-		broken += schedule(seed, false) +
-			  schedule(unit_seed(seed), false);
-	unit_report("holder of the duties", 2 * unit_seeds(300), broken);
-	CU_ASSERT_EQUAL(broken, 0);
+		violations += schedule(seed, false) +
+			      schedule(unit_seed(seed), false);
+	unit_report("holder of the duties", 2 * unit_seeds(300), violations);
+	CU_ASSERT_EQUAL(violations, 0);
 }
 
-static void twin_without_margin_is_caught(void)
+static void missing_margin_is_caught(void)
 {
-	unsigned broken = 0;
+	unsigned violations = 0;
 	uint64_t seed;
 
 	for (seed = 1; seed <= 300; seed++)
-		broken += schedule(seed, true) > 0;
-	CU_ASSERT(broken > 0);
+		violations += schedule(seed, true) > 0;
+	CU_ASSERT(violations > 0);
 }
 
-/* A late answer about an earlier record must not depose the new holder. */
-static void late_words_do_not_depose(void)
+/* An outdated read of the key must not end the new holder's term. */
+static void outdated_reads_are_ignored(void)
 {
 	struct lead l;
 
@@ -237,8 +240,8 @@
 	CU_ASSERT(lead_begin_acquire(&l, 0, 20000, 9000 + AWAY));
 }
 
-/* A restarted entry must not wait for the lease of its own former boot. */
-static void duty_of_a_former_boot_is_taken_over(void)
+/* A restarted entry need not wait until its previous boot's lease expires. */
+static void key_of_previous_boot_is_taken_over(void)
 {
 	struct lead l;
 
@@ -252,7 +255,7 @@
 	CU_ASSERT_FALSE(lead_may_act(&l, 20000, 110));
 	CU_ASSERT(lead_may_act(&l, 20000, 110 + LEAD_SETTLE_MS));
 
-	/* Another one holds it, or held it since: as before. */
+	/* Another entry holds the key, or held it since: normal delays. */
 	lead_init(&l, AWAY, 0);
 	lead_on_key(&l, LEAD_OWNER_OTHER, 40, 100);
 	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 20000, 200));
@@ -261,10 +264,8 @@
 	CU_ASSERT_EQUAL(lead_expected_revision(&l), 0);
 }
 
-/* ---- Usage ---- */
-
-/* A vacant duty must not have every entry write to the store. */
-static void few_try_to_take_a_vacant_duty(void)
+/* A vacant key must not make every entry write to the store. */
+static void few_entries_write_a_vacant_key(void)
 {
 	enum {
 		MANY = 84,
@@ -284,7 +285,7 @@
 			lead_on_key(&all[i], LEAD_OWNER_OTHER, 5, 0);
 			lead_on_key_deleted(&all[i], 6, 1000);
 		}
-		/* Those that rank before `first` are dead. */
+		/* Entries that rank before `first` are dead. */
 		for (now = 1000; now < 6000; now += 50) {
 			for (i = (int)first; i < MANY; i++) {
 				const int place = i < RANKED ? i : -1;
@@ -306,7 +307,10 @@
 	}
 }
 
-static void counts_of_the_dead_stay(void)
+/* ---- Usage and wall time ---- */
+
+/* Counts received from an entry that crashed are kept. */
+static void counts_of_crashed_entries_are_kept(void)
 {
 	struct usage_total t[4];
 	struct usage u;
@@ -317,7 +321,7 @@
 	usage_add(&u, 1, 2, "a");
 	usage_add(&u, 1, 2, "a");
 	usage_merge(&u, 9, 2, "a", 5);
-	usage_merge(&u, 9, 2, "a", 4); /* a late datagram */
+	usage_merge(&u, 9, 2, "a", 4); /* a reordered datagram */
 	usage_merge(&u, 9, 2, "b", 1);
 	usage_merge(&u, 9, 3, "a", 7);
 	n = usage_sum(&u, 2, t, 4);
@@ -330,7 +334,7 @@
 }
 
 /* A step of the wall clock must not move counts to another window. */
-static void jumps_of_the_clock_are_not_time(void)
+static void clock_jumps_are_corrected(void)
 {
 	int64_t ahead[4] = { 0, 3000, 2990, 3010 };
 	int64_t alone[4] = { 0, -3000, 4, -8 };
@@ -339,17 +343,17 @@
 
 	walltime_init(&t, 1000000, 500);
 	CU_ASSERT_EQUAL(walltime_now(&t, 700), 1000200);
-	/* One of the others jumped. */
+	/* The clock of one other entry jumped. */
 	CU_ASSERT_EQUAL(walltime_correct(&t, alone, 4), 0);
-	/* We started within a jump: all others say so. */
+	/* Our clock had jumped at the start: all others differ from it. */
 	CU_ASSERT(walltime_correct(&t, ahead, 4) >= 2990);
 	CU_ASSERT(walltime_now(&t, 700) >= 1003190);
 	CU_ASSERT_EQUAL(walltime_correct(&t, pair, 2), 0);
 }
 
-/* ---- The plan ---- */
+/* ---- Scaling plan ---- */
 
-static size_t four_zones(struct scale_zone *z, int firm, int spot)
+static size_t four_zones(struct scale_zone *z, int on_demand, int spot)
 {
 	static const double prices[] = { 1.0, 0.8, 1.25, 0.9 };
 	int i;
@@ -358,24 +362,24 @@
 	for (i = 0; i < 4; i++) {
 		snprintf(z[i].name, sizeof(z[i].name), "z%d", i);
 		z[i].price = prices[i];
-		z[i].on_demand = firm;
+		z[i].on_demand = on_demand;
 		z[i].spot = spot;
 	}
 	return 4;
 }
 
-static void sums(const struct scale_zone *z, int *firm, int *spot)
+static void sums(const struct scale_zone *z, int *on_demand, int *spot)
 {
 	int i;
 
-	*firm = *spot = 0;
+	*on_demand = *spot = 0;
 	for (i = 0; i < 4; i++) {
-		*firm += z[i].want_on_demand;
+		*on_demand += z[i].want_on_demand;
 		*spot += z[i].want_spot;
 	}
 }
 
-static void cheap_ones_spread_over_all_zones(void)
+static void spot_endpoints_spread_over_all_zones(void)
 {
 	struct scale_input in = {
 		.price_cover = true,
@@ -389,21 +393,21 @@
 		.now_ms = 1000,
 	};
 	struct scale_zone z[4];
-	int firm, spot, i;
+	int on_demand, spot, i;
 
 	four_zones(z, 3, 0);
 	for (i = 0; i < 4; i++)
 		z[i].spot_starting = 4;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
+	sums(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(spot, 16);
-	CU_ASSERT_EQUAL(firm, 0);
+	CU_ASSERT_EQUAL(on_demand, 0);
 	for (i = 0; i < 4; i++)
 		CU_ASSERT_EQUAL(z[i].want_spot, 4);
 }
 
-/* Granted endpoints that still start must not replace running ones. */
-static void those_that_stay_wait_for_the_granted_ones(void)
+/* Starting spot endpoints must not replace running on-demand ones. */
+static void on_demand_stays_until_spot_serves(void)
 {
 	struct scale_input in = {
 		.price_cover = true,
@@ -417,26 +421,26 @@
 		.now_ms = 1000,
 	};
 	struct scale_zone z[4];
-	int firm, spot, i;
+	int on_demand, spot, i;
 
 	four_zones(z, 0, 0);
 	z[1].on_demand = 6;
 	for (i = 0; i < 4; i++)
 		z[i].spot_starting = 4;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
-	CU_ASSERT_EQUAL(firm, 6);
+	sums(z, &on_demand, &spot);
+	CU_ASSERT_EQUAL(on_demand, 6);
 	for (i = 0; i < 4; i++) {
 		z[i].spot = 4;
 		z[i].spot_starting = 0;
 	}
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
-	CU_ASSERT_EQUAL(firm, 0);
+	sums(z, &on_demand, &spot);
+	CU_ASSERT_EQUAL(on_demand, 0);
 }
 
-/* All caches must not turn cold at once when a shortage ends. */
-static void those_that_stay_leave_one_after_the_other(void)
+/* When a shortage ends, the warm caches must not all be lost at once. */
+static void on_demand_drains_one_by_one(void)
 {
 	struct scale_input in = {
 		.price_cover = true,
@@ -451,7 +455,7 @@
 	};
 	struct scale_zone z[4];
 	double held = 40;
-	int firm, spot, last = 40, steps = 0, i;
+	int on_demand, spot, last = 40, steps = 0, i;
 
 	for (in.now_ms = 1050; in.now_ms < 30000; in.now_ms += 50) {
 		four_zones(z, last / 4, 30);
@@ -460,18 +464,18 @@
 		held = scale_limit_drain(held, 0, 50);
 		in.min_on_demand = (int)held;
 		scale_plan(&in, z, 4);
-		sums(z, &firm, &spot);
-		CU_ASSERT(last - firm <= 2);
-		steps += firm < last;
-		last = firm;
+		sums(z, &on_demand, &spot);
+		CU_ASSERT(last - on_demand <= 2);
+		steps += on_demand < last;
+		last = on_demand;
 	}
 	CU_ASSERT_EQUAL(last, 0);
 	CU_ASSERT(steps >= 30);
 	CU_ASSERT_EQUAL(scale_limit_drain(3, 7, 50), 7);
 }
 
-/* The pattern: zone after zone is reclaimed, and none are to be had. */
-static void shortage_is_covered_by_ones_that_stay(void)
+/* Zone after zone is reclaimed, and no spot capacity is available. */
+static void on_demand_covers_spot_shortage(void)
 {
 	struct scale_input in = {
 		.price_cover = true,
@@ -485,28 +489,28 @@
 		.now_ms = 1000,
 	};
 	struct scale_zone z[4];
-	int firm, spot, i;
+	int on_demand, spot, i;
 
 	four_zones(z, 0, 0);
 	for (i = 0; i < 4; i++)
 		z[i].no_spot_until_ms = 2000;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
-	CU_ASSERT_EQUAL(firm, 6);
-	/* Those that are left are kept, and count. */
+	sums(z, &on_demand, &spot);
+	CU_ASSERT_EQUAL(on_demand, 6);
+	/* Remaining spot endpoints are kept, and count. */
 	z[0].spot = 4;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
+	sums(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(z[0].want_spot, 4);
-	/* And their zone may go next: the others carry all then. */
+	/* Their zone may be reclaimed next: the others must carry all load. */
 	CU_ASSERT_EQUAL(spot, 4);
-	CU_ASSERT_EQUAL(firm, 6);
+	CU_ASSERT_EQUAL(on_demand, 6);
 	for (i = 0; i < 4; i++)
 		CU_ASSERT(z[i].want_on_demand + z[i].want_spot <= in.max);
 }
 
-/* A queue after a reclaim must not be taken for load. */
-static void piled_up_requests_are_no_load(void)
+/* A queue that builds up after a reclaim must not count as client load. */
+static void queued_requests_are_not_load(void)
 {
 	struct scale_need n = { 0 };
 	int i;
@@ -521,8 +525,8 @@
 	CU_ASSERT_DOUBLE_EQUAL(n.baseline, 14, 1);
 }
 
-/* A new holder must not order from a guess and undo it. */
-static void the_plan_outlives_its_holder(void)
+/* A new holder continues its predecessor's plan instead of a guess. */
+static void plan_survives_change_of_holder(void)
 {
 	struct saved_plan before = { .nr_rows = 0 }, after;
 	struct saved_plan_row *row = saved_plan_row(&before, "llm");
@@ -539,19 +543,19 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(saved_plan_find(&after, "llm"));
 	row = saved_plan_row(&after, "llm");
 	CU_ASSERT_DOUBLE_EQUAL(row->on_demand_held, 1.5, 0.01);
-	/* No load seen yet: the carried plan stands, a guess does not. */
+	/* Before any load the saved need stays; without one it is initial. */
 	scale_update_need(&row->need, 0, 20, 20);
 	CU_ASSERT_DOUBLE_EQUAL(row->need.need, 5, 0.2);
 	scale_update_need(&guess, 0, 20, 20);
 	CU_ASSERT_DOUBLE_EQUAL(guess.need, 20, 0.2);
-	/* Worth writing again once it moved by a part. */
+	/* Only a large enough change is worth writing. */
 	row->need.need = 5.3;
 	CU_ASSERT_FALSE(saved_plan_differs(&after, &before));
 	row->need.need = 7;
 	CU_ASSERT(saved_plan_differs(&after, &before));
 }
 
-static void altered_plans_are_refused(void)
+static void corrupt_plans_are_rejected(void)
 {
 	static const char good[] =
 		"{\"services\":[{\"name\":\"llm\",\"need\":4.5,"
@@ -596,7 +600,7 @@
 	}
 }
 
-/* The pattern: a burst of 1.7 times the load on endpoints that carry it. */
+/* A burst of 1.7 times the load, on endpoints that can serve it. */
 static void need_rises_at_once_and_falls_slowly(void)
 {
 	struct scale_need n = { 0 };
@@ -614,8 +618,8 @@
 	CU_ASSERT(n.need > 6);
 }
 
-/* Stand-by for the last spot zone must be ordered before it goes. */
-static void last_zone_may_go_as_well(void)
+/* Spare endpoints for the last spot zone are ordered before it is reclaimed. */
+static void loss_of_last_spot_zone_is_covered(void)
 {
 	const struct scale_input in = {
 		.price_cover = true,
@@ -629,29 +633,29 @@
 		.now_ms = 10000,
 	};
 	struct scale_zone z[4];
-	int firm, spot, i;
+	int on_demand, spot, i;
 
 	memset(z, 0, sizeof(z));
 	for (i = 0; i < 4; i++)
 		z[i].price = 1;
 	z[0].spot = z[1].spot = z[2].spot = 20;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
-	CU_ASSERT_EQUAL(firm, 0);
-	/* None are to be had: two zones are left, then one. */
+	sums(z, &on_demand, &spot);
+	CU_ASSERT_EQUAL(on_demand, 0);
+	/* No spot capacity: two zones remain, then one. */
 	z[0].no_spot_until_ms = 11000;
 	z[2].spot = 0;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
-	CU_ASSERT_EQUAL(firm, 3);
+	sums(z, &on_demand, &spot);
+	CU_ASSERT_EQUAL(on_demand, 3);
 	z[1].spot = 0;
 	scale_plan(&in, z, 4);
-	sums(z, &firm, &spot);
-	CU_ASSERT_EQUAL(firm, 23);
+	sums(z, &on_demand, &spot);
+	CU_ASSERT_EQUAL(on_demand, 23);
 }
 
-/* Whatever comes in, every zone stays within its bounds. */
-static void bounds_of_zones_hold(void)
+/* Every zone stays within its bounds, for random input. */
+static void zones_stay_within_bounds(void)
 {
 	struct scale_zone z[4];
 	struct rnd rnd;
@@ -687,15 +691,15 @@
 	}
 }
 
-/* ---- The plan under reclaims in series ---- */
+/* ---- Scaling plan under a series of reclaims ---- */
 
 #define REPLAN_MS 50
-#define MOST_STARTING 64
+#define MAX_STARTING 64
 
 /* Endpoints of one kind in one zone. */
 struct pool {
 	int running;
-	int64_t starts[MOST_STARTING]; /* when each that was granted serves */
+	int64_t starts[MAX_STARTING]; /* when each granted endpoint serves */
 	int nr_starts;
 };
 
@@ -703,11 +707,11 @@
 	struct rnd rnd;
 	struct scale_input in;
 	struct scale_zone z[4];
-	struct pool firm[4], spot[4];
-	int64_t dry_until[4];
+	struct pool on_demand[4], spot[4];
+	int64_t unavailable_until[4];
 	int64_t boot_ms, next_reclaim_ms;
-	bool room_kept; /* false: the twin that plans as if nothing ran */
-	int given_up_early;
+	bool running_counted; /* false: violations variant, plans as if idle */
+	int removed_early;
 };
 
 static void start_due(struct pool *p, int64_t now)
@@ -724,7 +728,7 @@
 	}
 }
 
-/* Those that start are given up first, as the platform does. */
+/* Starting endpoints are removed first, as the platform does. */
 static void follow_order(struct pool *p, int wanted, int64_t serves_ms)
 {
 	while (p->running + p->nr_starts > wanted && p->nr_starts)
@@ -732,11 +736,11 @@
 	if (p->running > wanted)
 		p->running = wanted;
 	while (p->running + p->nr_starts < wanted &&
-	       p->nr_starts < MOST_STARTING)
+	       p->nr_starts < MAX_STARTING)
 		p->starts[p->nr_starts++] = serves_ms;
 }
 
-/* A zone of spot endpoints goes; for a while none are to be had anywhere. */
+/* Reclaims a zone of spot endpoints; no zone has spot capacity for a while. */
 static void maybe_reclaim(struct reclaims *w)
 {
 	const int64_t now = w->in.now_ms;
@@ -749,7 +753,8 @@
 	w->spot[zone].running = 0;
 	w->spot[zone].nr_starts = 0;
 	for (i = 0; i < 4; i++)
-		w->dry_until[i] = now + 5000 + rnd_below(&w->rnd, 25000);
+		w->unavailable_until[i] =
+			now + 5000 + rnd_below(&w->rnd, 25000);
 }
 
 static void fill_zones(struct reclaims *w)
@@ -757,16 +762,16 @@
 	int i;
 
 	for (i = 0; i < 4; i++) {
-		w->z[i].on_demand = w->firm[i].running;
-		w->z[i].on_demand_starting = w->room_kept ? w->firm[i].nr_starts
-							  : 0;
+		w->z[i].on_demand = w->on_demand[i].running;
+		w->z[i].on_demand_starting =
+			w->running_counted ? w->on_demand[i].nr_starts : 0;
 		w->z[i].spot = w->spot[i].running;
 		w->z[i].spot_starting = w->spot[i].nr_starts;
-		w->z[i].no_spot_until_ms = w->dry_until[i];
+		w->z[i].no_spot_until_ms = w->unavailable_until[i];
 	}
 }
 
-/* What runs, up to what the load needs with cover, is in the plan. */
+/* The plan keeps running endpoints, up to the need with its cover. */
 static void check_kept(struct reclaims *w)
 {
 	const int cover = (int)ceil(w->in.need * 1.5);
@@ -781,7 +786,7 @@
 		kept += z->want_spot < z->spot ? z->want_spot : z->spot;
 		CU_ASSERT(z->want_on_demand + z->want_spot <= w->in.max);
 	}
-	w->given_up_early += kept < (running < cover ? running : cover);
+	w->removed_early += kept < (running < cover ? running : cover);
 }
 
 static void replan(struct reclaims *w)
@@ -790,30 +795,30 @@
 	int i;
 
 	for (i = 0; i < 4; i++) {
-		start_due(&w->firm[i], now);
+		start_due(&w->on_demand[i], now);
 		start_due(&w->spot[i], now);
 	}
 	maybe_reclaim(w);
 	fill_zones(w);
-	if (!w->room_kept)
+	if (!w->running_counted)
 		w->in.no_load_yet = true;
 	scale_plan(&w->in, w->z, 4);
 	check_kept(w);
 	for (i = 0; i < 4; i++) {
-		const bool dry = now < w->dry_until[i];
+		const bool unavailable = now < w->unavailable_until[i];
 
-		follow_order(&w->firm[i], w->z[i].want_on_demand,
+		follow_order(&w->on_demand[i], w->z[i].want_on_demand,
 			     now + w->boot_ms);
-		if (!dry || w->z[i].want_spot < w->spot[i].running)
+		if (!unavailable || w->z[i].want_spot < w->spot[i].running)
 			follow_order(&w->spot[i], w->z[i].want_spot,
 				     now + w->boot_ms);
 	}
 	w->in.now_ms += REPLAN_MS;
 }
 
-static int given_up_early(uint64_t seed, bool room_kept)
+static int removed_early(uint64_t seed, bool running_counted)
 {
-	struct reclaims w = { .room_kept = room_kept };
+	struct reclaims w = { .running_counted = running_counted };
 	int round, i;
 
 	rnd_seed(&w.rnd, seed);
@@ -834,58 +839,58 @@
 	w.next_reclaim_ms = w.in.now_ms + 1000;
 	for (round = 0; round < 1200; round++)
 		replan(&w);
-	return w.given_up_early;
+	return w.removed_early;
 }
 
-/* Endpoints that run must not make room for others that are only ordered. */
-static void what_runs_stays_until_its_successors_serve(void)
+/* Running endpoints must not be removed for others that don't serve yet. */
+static void running_endpoints_stay_until_replaced(void)
 {
 	const unsigned long n = unit_seeds(100);
 	unsigned long i;
 
 	for (i = 1; i <= n; i++)
-		CU_ASSERT_EQUAL(given_up_early(unit_seed(i), true), 0);
+		CU_ASSERT_EQUAL(removed_early(unit_seed(i), true), 0);
 }
 
-static void twin_without_kept_room_is_caught(void)
+static void ignoring_running_endpoints_is_caught(void)
 {
 	unsigned long i;
 	int caught = 0;
 
 	for (i = 1; i <= 20; i++)
-		caught += given_up_early(unit_seed(i), false) > 0;
+		caught += removed_early(unit_seed(i), false) > 0;
 	CU_ASSERT(caught > 0);
 }
 
 static const struct unit_test tests[] = {
-	{ "one holder on every schedule", one_holder_on_every_schedule },
-	{ "the twin without a margin is caught",
-	  twin_without_margin_is_caught },
-	{ "late words do not depose", late_words_do_not_depose },
-	{ "the duty of a former boot is taken over",
-	  duty_of_a_former_boot_is_taken_over },
-	{ "few try to take a vacant duty", few_try_to_take_a_vacant_duty },
-	{ "counts of the dead stay", counts_of_the_dead_stay },
-	{ "jumps of the clock are not time", jumps_of_the_clock_are_not_time },
-	{ "cheap ones spread over all zones",
-	  cheap_ones_spread_over_all_zones },
-	{ "those that stay wait for the granted ones",
-	  those_that_stay_wait_for_the_granted_ones },
-	{ "those that stay leave one after the other",
-	  those_that_stay_leave_one_after_the_other },
-	{ "a shortage is covered by ones that stay",
-	  shortage_is_covered_by_ones_that_stay },
-	{ "piled-up requests are no load", piled_up_requests_are_no_load },
+	{ "at most one holder", at_most_one_holder },
+	{ "a missing margin is caught", missing_margin_is_caught },
+	{ "outdated reads are ignored", outdated_reads_are_ignored },
+	{ "the key of a previous boot is taken over",
+	  key_of_previous_boot_is_taken_over },
+	{ "few entries write a vacant key", few_entries_write_a_vacant_key },
+	{ "counts of crashed entries are kept",
+	  counts_of_crashed_entries_are_kept },
+	{ "clock jumps are corrected", clock_jumps_are_corrected },
+	{ "spot endpoints spread over all zones",
+	  spot_endpoints_spread_over_all_zones },
+	{ "on-demand stays until spot serves",
+	  on_demand_stays_until_spot_serves },
+	{ "on-demand drains one by one", on_demand_drains_one_by_one },
+	{ "on-demand covers a spot shortage", on_demand_covers_spot_shortage },
+	{ "queued requests are not load", queued_requests_are_not_load },
 	{ "the need rises at once and falls slowly",
 	  need_rises_at_once_and_falls_slowly },
-	{ "the last zone may go as well", last_zone_may_go_as_well },
-	{ "bounds of zones hold", bounds_of_zones_hold },
-	{ "what runs stays until its successors serve",
-	  what_runs_stays_until_its_successors_serve },
-	{ "the twin without kept room is caught",
-	  twin_without_kept_room_is_caught },
-	{ "the plan outlives its holder", the_plan_outlives_its_holder },
-	{ "altered plans are refused", altered_plans_are_refused },
+	{ "the loss of the last spot zone is covered",
+	  loss_of_last_spot_zone_is_covered },
+	{ "zones stay within bounds", zones_stay_within_bounds },
+	{ "running endpoints stay until replaced",
+	  running_endpoints_stay_until_replaced },
+	{ "ignoring running endpoints is caught",
+	  ignoring_running_endpoints_is_caught },
+	{ "the plan survives a change of holder",
+	  plan_survives_change_of_holder },
+	{ "corrupt plans are rejected", corrupt_plans_are_rejected },
 };
 
 UNIT_MAIN("duties", tests)
--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -1,10 +1,11 @@
 /*
- * The store comes back from an older copy: seeded schedules of its keys as a
- * mirror has them, and of the holder of the duties.
+ * The store is restored from an older copy: seeded schedules of its keys as
+ * seen by a mirror, and of the holder of the duties.
  *
- * Symptom: an endpoint that was written again was not used; a call of a duty
- * bore a lower number than one before it, or the number of another holder.
- * Cause: revisions go back and are given out again, and were compared alone.
+ * A restore sets the store's revision back, so revisions are issued again. When
+ * they were compared without the era, an endpoint that was written again was
+ * not used, and a duty's call had a lower fencing token than the previous one,
+ * or the token of another holder.
  */
 #include <stdio.h>
 #include <string.h>
@@ -15,13 +16,13 @@
 #include "store/ver.h"
 #include "support/unit.h"
 
-static void eras_come_before_revisions(void)
+static void eras_order_before_revisions(void)
 {
 	CU_ASSERT(ver_of(1, 900) < ver_of(2, 3));
 	CU_ASSERT(ver_of(2, 3) < ver_of(2, 4));
 	CU_ASSERT_EQUAL(ver_revision(ver_of(7, 900)), 900);
 	CU_ASSERT_EQUAL(ver_era(ver_of(7, 900)), 7);
-	/* A store that names no era; none at all. */
+	/* A store without eras; no revision. */
 	CU_ASSERT_EQUAL(ver_of(0, 900), 900);
 	CU_ASSERT_EQUAL(ver_of(5, 0), 0);
 }
@@ -32,7 +33,7 @@
 #define LOG 2000
 
 struct keys {
-	int64_t rev[KEYS]; /* 0: not there */
+	int64_t rev[KEYS]; /* 0: key doesn't exist */
 	int64_t revision;
 };
 
@@ -42,7 +43,7 @@
 	struct {
 		int key;
 		int64_t rev;
-		bool gone;
+		bool deleted;
 	} log[LOG];
 	int nr_log;
 };
@@ -59,25 +60,28 @@
 	((struct view *)arg)->version[key[0] - 'a'] = version;
 }
 
-static void on_gone(void *arg, const char *key, int64_t version)
+static void on_delete(void *arg, const char *key, int64_t version)
 {
 	(void)version;
 	((struct view *)arg)->version[key[0] - 'a'] = 0;
 }
 
-static const struct mir_vtable vtable = { on_put, on_gone };
+static const struct mir_vtable vtable = { on_put, on_delete };
 
-static void write_key(struct store *s, int key, bool gone)
+static void write_key(struct store *s, int key, bool deleted)
 {
 	s->now.revision++;
-	s->now.rev[key] = gone ? 0 : s->now.revision;
+	s->now.rev[key] = deleted ? 0 : s->now.revision;
 	s->log[s->nr_log % LOG].key = key;
 	s->log[s->nr_log % LOG].rev = s->now.revision;
-	s->log[s->nr_log++ % LOG].gone = gone;
+	s->log[s->nr_log++ % LOG].deleted = deleted;
 }
 
-/* Operators and endpoints write again, and revisions soon are where they were. */
-static void come_back(struct store *s, struct rnd *rnd)
+/*
+ * Restores the copy. Operators and endpoints then write again, so the revision
+ * soon reaches its former value.
+ */
+static void restore(struct store *s, struct rnd *rnd)
 {
 	int writes = (int)rnd_below(rnd, 20);
 
@@ -89,21 +93,22 @@
 }
 
 /*
- * Broken twins: one has revisions alone; one reads anew only when the store
- * says that it has not got the revision, which may have been given out again.
+ * Broken variants: one compares revisions without the era; one lists the keys
+ * again only when the store refuses the revision, which it may have issued
+ * again.
  */
-static bool by_revision, waits_for_refusal;
+static bool ignores_era, waits_for_refusal;
 
 static int64_t version_of(const struct store *s, int64_t rev)
 {
-	return by_revision ? rev : ver_of(s->era, rev);
+	return ignores_era ? rev : ver_of(s->era, rev);
 }
 
-/* What lib/edge does with an answer of another era. */
-static bool returned(struct mir *m, const struct store *s, int64_t *era,
-		     int64_t now)
+/* Handles an answer of another era like lib/edge. */
+static bool handle_new_era(struct mir *m, const struct store *s, int64_t *era,
+			   int64_t now)
 {
-	if (*era == s->era || by_revision || waits_for_refusal)
+	if (*era == s->era || ignores_era || waits_for_refusal)
 		return false;
 	*era = s->era;
 	mir_history_lost(m, now);
@@ -139,15 +144,15 @@
 			continue;
 		any = true;
 		key[0] = (char)('a' + s->log[i].key);
-		mir_event(m, key, s->log[i].gone ? NULL : "", 0,
+		mir_event(m, key, s->log[i].deleted ? NULL : "", 0,
 			  version_of(s, s->log[i].rev));
 	}
 	mir_watched(m, any, version_of(s, s->now.revision), now);
 }
 
-/* A call of the mirror; what the store says was true when it answered. */
+/* A call of the mirror; `said`: the store's state when it answered. */
 struct call {
-	enum mir_call kind; /* MIR_NONE: none is under way */
+	enum mir_call kind; /* MIR_NONE: no call in flight */
 	struct store said;
 	int64_t due_ms;
 	bool lost;
@@ -170,14 +175,14 @@
 	const enum mir_call kind = c->kind;
 
 	c->kind = MIR_NONE;
-	if (c->lost || (said->era < *era && !by_revision)) {
+	if (c->lost || (said->era < *era && !ignores_era)) {
 		mir_failed(m, now);
 		return;
 	}
-	/* The first answer shows the era. */
+	/* The first answer names the era. */
 	if (kind == MIR_LIST && !m->whole)
 		*era = said->era;
-	if (returned(m, said, era, now))
+	if (handle_new_era(m, said, era, now))
 		return;
 	if (kind == MIR_LIST)
 		answer_list(m, said, now);
@@ -192,12 +197,12 @@
 		begin_call(c, m, s, now, rnd);
 	if (c->kind != MIR_NONE && now >= c->due_ms)
 		end_call(c, m, era, now);
-	/* Other calls show the era, too; one that is under way ends first. */
+	/* Answers to other calls name the era, too, if none is in flight here. */
 	if (c->kind == MIR_NONE && m->whole && !rnd_below(rnd, 20))
-		returned(m, s, era, now);
+		handle_new_era(m, s, era, now);
 }
 
-#define QUIET_MS 15000 /* then the store is left alone */
+#define QUIET_MS 15000 /* no writes and restores from then on */
 
 static unsigned keys_schedule(uint64_t seed)
 {
@@ -225,7 +230,7 @@
 			s.nr_log = 0;
 		}
 		if (now < QUIET_MS && !rnd_below(&rnd, 400))
-			come_back(&s, &rnd);
+			restore(&s, &rnd);
 		client_tick(&c, &m, &s, &era, now, &rnd);
 	}
 	for (k = 0; k < KEYS; k++)
@@ -234,7 +239,7 @@
 	return wrong;
 }
 
-static unsigned play_keys(unsigned long seeds)
+static unsigned run_keys(unsigned long seeds)
 {
 	unsigned wrong = 0;
 	uint64_t seed;
@@ -246,51 +251,51 @@
 
 #define SEEDS 300
 
-static void mirrors_end_with_the_store(void)
+static void mirrors_match_the_store(void)
 {
 	const unsigned long seeds = unit_seeds(SEEDS);
-	const unsigned wrong = play_keys(seeds);
+	const unsigned wrong = run_keys(seeds);
 
-	unit_report("keys of a store that comes back", seeds, wrong);
+	unit_report("keys of a store that is restored", seeds, wrong);
 	CU_ASSERT_EQUAL(wrong, 0);
 }
 
-static void mirror_by_revisions_is_caught(void)
+static void mirror_without_era_is_caught(void)
 {
-	by_revision = true;
-	CU_ASSERT(play_keys(SEEDS) > 0);
-	by_revision = false;
+	ignores_era = true;
+	CU_ASSERT(run_keys(SEEDS) > 0);
+	ignores_era = false;
 }
 
-static void mirror_that_waits_for_a_refusal_is_caught(void)
+static void mirror_waiting_for_refusal_is_caught(void)
 {
 	waits_for_refusal = true;
-	CU_ASSERT(play_keys(SEEDS) > 0);
+	CU_ASSERT(run_keys(SEEDS) > 0);
 	waits_for_refusal = false;
 }
 
-/* ---- The holder of the duties ---- */
+/* ---- Holder of the duties ---- */
 
 #define NODES 4
 #define LEASE 3000
 #define STEP 10
 
-enum twin {
-	SOUND,
-	REVISIONS_ALONE,
-	ACTS_AT_ONCE,
+enum variant {
+	CORRECT,
+	IGNORES_ERA,
+	ACTS_WITHOUT_DELAY,
 	TRUSTS_LATE_ANSWERS
 };
 
 struct node {
 	struct lead lead;
-	int64_t until;	   /* its lease, as it can prove it */
-	int64_t era;	   /* as it knows */
-	int64_t learns_ms; /* its watch answers then */
-	int64_t frozen_till;
-	/* A renewal whose answer is on the way; 0: none. */
+	int64_t until;	      /* proven end of its lease */
+	int64_t era;	      /* the last one that it saw */
+	int64_t next_read_ms; /* its watch answers next */
+	int64_t frozen_until;
+	/* A renewal whose answer is in flight; 0: none. */
 	int64_t renewal_asked, renewal_due, renewal_era;
-	/* A write to take the duty that is on the way; 0: none. */
+	/* A write of the duty key that is in flight; 0: none. */
 	int64_t write_due, write_expected;
 };
 
@@ -300,49 +305,49 @@
 };
 
 static struct {
-	enum twin twin;
+	enum variant variant;
 	struct node nodes[NODES];
 	struct duty_key key, copy;
-	int64_t revision, copy_revision, era, away_till;
+	int64_t revision, copy_revision, era, unreachable_until;
 	struct rnd rnd;
 	int64_t now;
-	/* What the platform saw. */
-	int64_t last_fence, last_ms, before_ms;
-	int last, before;
-	unsigned broken;
+	/* Calls that the platform received. */
+	int64_t last_fence, last_ms, previous_ms;
+	int last, previous; /* holders */
+	unsigned violations;
 } w;
 
 static int64_t fence_version(int64_t rev)
 {
-	return w.twin == REVISIONS_ALONE ? rev : ver_of(w.era, rev);
+	return w.variant == IGNORES_ERA ? rev : ver_of(w.era, rev);
 }
 
 static void act(int n)
 {
 	const int64_t fence = w.nodes[n].lead.fence;
 
-	w.broken += fence < w.last_fence;
-	w.broken += fence == w.last_fence && w.last_ms && n != w.last;
-	w.broken += n != w.last && n == w.before && w.before_ms &&
-		    w.now - w.before_ms < LEASE;
+	w.violations += fence < w.last_fence;
+	w.violations += fence == w.last_fence && w.last_ms && n != w.last;
+	w.violations += n != w.last && n == w.previous && w.previous_ms &&
+			w.now - w.previous_ms < LEASE;
 	if (n != w.last) {
-		w.before = w.last;
-		w.before_ms = w.last_ms;
+		w.previous = w.last;
+		w.previous_ms = w.last_ms;
 	}
 	w.last = n;
 	w.last_ms = w.now;
 	w.last_fence = fence;
 }
 
-/* An answer of the store, or another entry, names the era. */
+/* An answer of the store, or gossip of another entry, names the era. */
 static void learn_era(struct node *x)
 {
 	if (x->era == w.era)
 		return;
 	x->era = w.era;
-	if (w.twin == REVISIONS_ALONE)
+	if (w.variant == IGNORES_ERA)
 		return;
-	if (w.twin != ACTS_AT_ONCE)
+	if (w.variant != ACTS_WITHOUT_DELAY)
 		lead_on_store_restored(&x->lead, LEASE, w.now);
 	x->until = 0;
 }
@@ -377,7 +382,7 @@
 		lead_end_acquire(&x->lead, false, 0, w.now);
 }
 
-/* The lease runs on in the store; its answer may be late. */
+/* Renews the lease in the store; the answer may be late. */
 static void renew(struct node *x, int n)
 {
 	if (w.key.holder == n)
@@ -395,7 +400,7 @@
 	const bool late = x->renewal_era < x->era;
 
 	x->renewal_due = 0;
-	if (!late || w.twin == REVISIONS_ALONE)
+	if (!late || w.variant == IGNORES_ERA)
 		x->until = x->renewal_asked + LEASE;
 	if (!late)
 		learn_era(x);
@@ -404,28 +409,28 @@
 static void node_tick(int n)
 {
 	struct node *x = &w.nodes[n];
-	const bool away = w.now < w.away_till;
+	const bool unreachable = w.now < w.unreachable_until;
 
-	if (x->write_due && w.now >= x->write_due && !away)
+	if (x->write_due && w.now >= x->write_due && !unreachable)
 		write_arrives(x, n);
-	if (w.now < x->frozen_till)
+	if (w.now < x->frozen_until)
 		return;
 	if (x->renewal_due && w.now >= x->renewal_due)
 		renewal_answered(x);
-	if (!away && w.now >= x->learns_ms) {
-		/* Now and then its watch is held up. */
-		x->learns_ms =
+	if (!unreachable && w.now >= x->next_read_ms) {
+		/* The watch is sometimes late. */
+		x->next_read_ms =
 			w.now + 20 +
 			rnd_below(&w.rnd, rnd_below(&w.rnd, 6) ? 700 : 2800);
 		read_key(x, n);
 	}
-	if (!away && !x->renewal_due && (w.now + n * 200) % 900 < STEP)
+	if (!unreachable && !x->renewal_due && (w.now + n * 200) % 900 < STEP)
 		renew(x, n);
 	if (!x->write_due &&
 	    lead_begin_acquire(&x->lead, n, w.now + LEASE, w.now)) {
 		x->write_expected =
 			ver_revision(lead_expected_revision(&x->lead));
-		/* It may be done seconds later, if its condition holds. */
+		/* It may be applied seconds later, if its condition holds. */
 		x->write_due =
 			w.now + 4 +
 			(rnd_below(&w.rnd, 6) ? 0 : rnd_below(&w.rnd, 3000));
@@ -434,42 +439,42 @@
 		act(n);
 }
 
-static void store_comes_back(void)
+static void restore_store(void)
 {
 	w.key = w.copy;
-	/* Leases of the copy run anew; those made since are gone. */
+	/* Leases in the copy restart; newer ones are lost. */
 	if (w.key.holder >= 0)
 		w.key.lease_end = w.now + LEASE;
 	w.revision = w.copy_revision;
 	w.era++;
-	w.away_till = w.now + rnd_below(&w.rnd, 1500);
+	w.unreachable_until = w.now + rnd_below(&w.rnd, 1500);
 }
 
 static void store_tick(void)
 {
 	if (w.key.holder >= 0 && w.now >= w.key.lease_end &&
-	    w.now >= w.away_till) {
+	    w.now >= w.unreachable_until) {
 		w.key.holder = -1;
 		w.revision++;
 	}
-	/* Other keys are written, too. */
+	/* Writes of other keys. */
 	w.revision += !rnd_below(&w.rnd, 10);
 	if (!rnd_below(&w.rnd, 400)) {
 		w.copy = w.key;
 		w.copy_revision = w.revision;
 	}
 	if (!rnd_below(&w.rnd, 700))
-		store_comes_back();
+		restore_store();
 }
 
-static unsigned duty_schedule(uint64_t seed, enum twin twin)
+static unsigned duty_schedule(uint64_t seed, enum variant variant)
 {
 	int n;
 
 	memset(&w, 0, sizeof(w));
-	w.twin = twin;
+	w.variant = variant;
 	w.era = 1;
-	w.key.holder = w.copy.holder = w.last = w.before = -1;
+	w.key.holder = w.copy.holder = w.last = w.previous = -1;
 	rnd_seed(&w.rnd, unit_seed(seed));
 	for (n = 0; n < NODES; n++) {
 		lead_init(&w.nodes[n].lead, LEASE, 1);
@@ -480,47 +485,47 @@
 		for (n = 0; n < NODES; n++)
 			node_tick(n);
 		if (!rnd_below(&w.rnd, 600))
-			w.nodes[rnd_below(&w.rnd, NODES)].frozen_till =
+			w.nodes[rnd_below(&w.rnd, NODES)].frozen_until =
 				w.now + 500 + rnd_below(&w.rnd, 4000);
 	}
-	return w.broken;
+	return w.violations;
 }
 
-static unsigned play_duties(unsigned long seeds, enum twin twin)
+static unsigned run_duties(unsigned long seeds, enum variant variant)
 {
-	unsigned broken = 0;
+	unsigned violations = 0;
 	uint64_t seed;
 
 	for (seed = 1; seed <= seeds; seed++)
-		broken += duty_schedule(seed, twin) > 0;
-	return broken;
+		violations += duty_schedule(seed, variant) > 0;
+	return violations;
 }
 
-static void one_holder_whatever_the_store_forgets(void)
+static void at_most_one_holder_across_restores(void)
 {
 	const unsigned long seeds = unit_seeds(SEEDS);
-	const unsigned broken = play_duties(seeds, SOUND);
+	const unsigned violations = run_duties(seeds, CORRECT);
 
-	unit_report("duties on a store that comes back", seeds, broken);
-	CU_ASSERT_EQUAL(broken, 0);
+	unit_report("duties on a store that is restored", seeds, violations);
+	CU_ASSERT_EQUAL(violations, 0);
 	CU_ASSERT(w.last_ms > 0);
 }
 
-static void broken_holders_are_caught(void)
+static void broken_variants_are_caught(void)
 {
-	CU_ASSERT(play_duties(SEEDS, REVISIONS_ALONE) > 0);
-	CU_ASSERT(play_duties(SEEDS, ACTS_AT_ONCE) > 0);
+	CU_ASSERT(run_duties(SEEDS, IGNORES_ERA) > 0);
+	CU_ASSERT(run_duties(SEEDS, ACTS_WITHOUT_DELAY) > 0);
 }
 
 static const struct unit_test tests[] = {
-	{ "eras come before revisions", eras_come_before_revisions },
-	{ "mirrors end with the store", mirrors_end_with_the_store },
-	{ "a mirror by revisions is caught", mirror_by_revisions_is_caught },
-	{ "a mirror that waits for a refusal is caught",
-	  mirror_that_waits_for_a_refusal_is_caught },
-	{ "one holder whatever the store forgets",
-	  one_holder_whatever_the_store_forgets },
-	{ "broken holders are caught", broken_holders_are_caught },
+	{ "eras order before revisions", eras_order_before_revisions },
+	{ "mirrors match the store", mirrors_match_the_store },
+	{ "a mirror without eras is caught", mirror_without_era_is_caught },
+	{ "a mirror waiting for a refusal is caught",
+	  mirror_waiting_for_refusal_is_caught },
+	{ "at most one holder across restores",
+	  at_most_one_holder_across_restores },
+	{ "broken variants are caught", broken_variants_are_caught },
 };
 
 UNIT_MAIN("era", tests)
