--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -230,7 +230,7 @@
 	struct svc *model;     /* of the service of the send under way */
 	struct svc_state at;   /* the endpoint when the request was sent */
 	double expected_ms; /* the first event or answer was expected after */
-	bool sure;	    /* that at.read_tokens must be read */
+	bool sure;	    /* that at.tokens_to_prefill must be read */
 	struct flt_endpoint *tried[EDGE_EXCLUDED]; /* referenced */
 	unsigned nr_tried;
 	unsigned sends;
--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -23,15 +23,15 @@
 
 static void log_moved(struct edge *en, struct svc *s)
 {
-	if (!svc_moved(s))
+	if (!svc_should_log(s))
 		return;
 	jlog_begin(en->log, JLOG_INFO, "belief");
 	jlog_str(en->log, "service", s->name);
-	jlog_num(en->log, "read_ms_per_1000_tokens", svc_read_ms(s, 1000));
-	jlog_num(en->log, "first_fixed_ms", s->first.coef[SVC_FIXED_MS]);
-	jlog_num(en->log, "first_samples", s->first.samples);
+	jlog_num(en->log, "read_ms_per_1000_tokens", svc_prefill_ms(s, 1000));
+	jlog_num(en->log, "first_fixed_ms", s->ttft.coef[SVC_FIXED_MS]);
+	jlog_num(en->log, "first_samples", s->ttft.samples);
 	jlog_num(en->log, "run_ms", s->run_ms);
-	jlog_num(en->log, "runs_seen", s->run_seen);
+	jlog_num(en->log, "runs_seen", s->run_samples);
 	jlog_end(en->log);
 }
 
@@ -57,7 +57,7 @@
 	note_error(r, took);
 	if (!learns(r))
 		return;
-	svc_first_seen(r->model, &r->at, took, r->sure);
+	svc_on_ttft(r->model, &r->at, took, r->sure);
 	log_moved(r->en, r->model);
 }
 
@@ -74,9 +74,9 @@
 	if (r->streaming && r->sends > 1)
 		return;
 	if (r->streaming && r->events.events > 1)
-		svc_pace_seen(r->model, r->at.running,
-			      (double)(now - r->first_ms) /
-				      (double)(r->events.events - 1));
-	svc_run_seen(r->model, &r->at, took);
+		svc_on_itl(r->model, r->at.running,
+			   (double)(now - r->first_ms) /
+				   (double)(r->events.events - 1));
+	svc_on_run_end(r->model, &r->at, took);
 	log_moved(r->en, r->model);
 }
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -86,8 +86,8 @@
 		if (r->nr_services == GSP_SERVICES)
 			return;
 		row = &r->services[r->nr_services++];
-		svc_tell(s, &row->told);
-		row->reads_per_s = svc_reads_per_s(s, now);
+		svc_export(s, &row->told);
+		row->reads_per_s = svc_prefill_tokens_per_s(s, now);
 	}
 }
 
@@ -251,7 +251,7 @@
 /* ---- What we hear ---- */
 
 /* Of services that the configuration names, so that others cost nothing. */
-static void learn_told(struct edge *en, const struct svc_told *told)
+static void learn_told(struct edge *en, const struct svc_snapshot *told)
 {
 	const struct cfg *c = en->force.cfg;
 	size_t i;
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -201,7 +201,7 @@
 /* Prompt tokens to be read a second, of the requests at all entries. */
 static double reads_per_s(struct edge *en, const struct svc *s, int64_t now)
 {
-	double sum = svc_reads_per_s(s, now);
+	double sum = svc_prefill_tokens_per_s(s, now);
 	struct prs_peer *p;
 	unsigned i;
 
@@ -227,16 +227,17 @@
 	struct prs_peer *p;
 	unsigned i;
 
-	svc_slope_add(&mean, s->first.coef[SVC_READ_MS], s->first.samples);
+	svc_slope_add(&mean, s->ttft.coef[SVC_PREFILL_MS], s->ttft.samples);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (!p->last || !prs_alive(p, now))
 			continue;
 		for (i = 0; i < p->last->nr_services; i++) {
-			const struct svc_told *t = &p->last->services[i].told;
+			const struct svc_snapshot *t =
+				&p->last->services[i].told;
 
 			if (t->service == s->hash)
-				svc_slope_add(&mean, t->first[SVC_READ_MS],
-					      t->samples);
+				svc_slope_add(&mean, t->ttft[SVC_PREFILL_MS],
+					      t->ttft_samples);
 		}
 	}
 	return svc_slope_mean(&mean);
@@ -247,16 +248,16 @@
 		      const struct edge_at_work *w)
 {
 	const struct svc *m = edge_model(en, s->name);
-	const double fit = svc_runs_fit(m, w->slots, s->gap_ms);
+	const double fit = svc_max_running(m, w->slots, s->gap_ms);
 
 	const struct svc_load load = {
-		.reads_per_s = reads_per_s(en, m, edge_now(en)),
-		.runs = w->runs,
+		.prefill_tokens_per_s = reads_per_s(en, m, edge_now(en)),
+		.running = w->runs,
 		.endpoints = w->usable,
-		.read_ms = read_ms_of_all(en, m, edge_now(en)),
+		.prefill_ms = read_ms_of_all(en, m, edge_now(en)),
 	};
 
-	return svc_busy(m, &load, fit);
+	return svc_busy_endpoints(m, &load, fit);
 }
 
 /* Endpoints of an order that were granted and may still be starting. */
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -146,7 +146,7 @@
 		r->a.prompt_tokens - (p->cached ? r->a.shared_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
-		svc_sent(r->model, r->at.read_tokens, edge_now(en));
+		svc_on_sent(r->model, r->at.tokens_to_prefill, edge_now(en));
 	if (r->route->cached && r->a.shared_part)
 		parts_used(&en->parts, r->a.shared_part, r->endpoint->hash,
 			   edge_now(en));
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -96,16 +96,16 @@
 
 static bool_t xdr_service(XDR *x, struct gsp_service *s)
 {
-	struct svc_told *t = &s->told;
+	struct svc_snapshot *t = &s->told;
 
 	return xdr_uint64_t(x, &t->service) && xdr_figure(x, &s->reads_per_s) &&
-	       xdr_figure(x, &t->samples) &&
-	       xdr_figures(x, t->first, SVC_FIRST_COEFS) &&
-	       xdr_figure(x, &t->first_off) &&
-	       xdr_figure(x, &t->pace_samples) &&
-	       xdr_figures(x, t->pace, SVC_PACE_COEFS) &&
-	       xdr_figure(x, &t->pace_off) && xdr_figure(x, &t->run_ms) &&
-	       xdr_figure(x, &t->run_seen);
+	       xdr_figure(x, &t->ttft_samples) &&
+	       xdr_figures(x, t->ttft, SVC_TTFT_COEFS) &&
+	       xdr_figure(x, &t->ttft_error) &&
+	       xdr_figure(x, &t->itl_samples) &&
+	       xdr_figures(x, t->itl, SVC_ITL_COEFS) &&
+	       xdr_figure(x, &t->itl_error) && xdr_figure(x, &t->run_ms) &&
+	       xdr_figure(x, &t->run_samples);
 }
 
 static bool_t xdr_services(XDR *x, struct gsp_record *r)
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -47,7 +47,7 @@
 /* Of a service: our load, and what its answers showed us. */
 struct gsp_service {
 	double reads_per_s; /* prompt tokens to be read, of our requests */
-	struct svc_told told;
+	struct svc_snapshot told;
 };
 
 /* Outcomes of the sender's requests in a roll-out in progress. */
--- a/lib/model/rls.c
+++ b/lib/model/rls.c
@@ -52,8 +52,8 @@
 	m->n = n;
 	for (i = 0; i < n; i++) {
 		m->coef[i] = prior[i];
-		m->most[i] = spread[i] * spread[i] / (NOISE * NOISE);
-		m->cov[i][i] = m->most[i];
+		m->max_cov[i] = spread[i] * spread[i] / (NOISE * NOISE);
+		m->cov[i][i] = m->max_cov[i];
 	}
 }
 
@@ -76,11 +76,14 @@
 static double bounded(struct rls *m, double error)
 {
 	if (m->samples < SETTLED) {
-		m->off += (fabs(error) - m->off) / (m->samples + 1);
+		m->typical_error +=
+			(fabs(error) - m->typical_error) / (m->samples + 1);
 		return error;
 	}
-	m->off += (fabs(clamp(error, OFF_EDGE * m->off)) - m->off) * OFF_PART;
-	return clamp(error, EDGE * m->off);
+	m->typical_error += (fabs(clamp(error, OFF_EDGE * m->typical_error)) -
+			     m->typical_error) *
+			    OFF_PART;
+	return clamp(error, EDGE * m->typical_error);
 }
 
 /*
@@ -95,7 +98,7 @@
 	unsigned i, j;
 
 	for (i = 0; i < m->n; i++)
-		scale[i] = m->cov[i][i] < m->most[i] ? 1 / sqrt(KEEP) : 1;
+		scale[i] = m->cov[i][i] < m->max_cov[i] ? 1 / sqrt(KEEP) : 1;
 	for (i = 0; i < m->n; i++) {
 		for (j = 0; j < m->n; j++)
 			m->cov[i][j] *= scale[i] * scale[j];
@@ -140,10 +143,10 @@
 	for (i = 0; i < m->n; i++) {
 		m->coef[i] = coef[i];
 		for (j = 0; j < m->n; j++)
-			m->cov[i][j] = i == j ? ADOPTED_VARIANCE * m->most[i]
+			m->cov[i][j] = i == j ? ADOPTED_VARIANCE * m->max_cov[i]
 					      : 0;
 	}
 	m->samples = samples;
-	m->off = off;
+	m->typical_error = off;
 	return true;
 }
--- a/lib/model/rls.h
+++ b/lib/model/rls.h
@@ -19,8 +19,8 @@
 	unsigned n; /* of coefficients */
 	double coef[RLS_MAX];
 	double cov[RLS_MAX][RLS_MAX]; /* in units of a sample's variance */
-	double most[RLS_MAX];	      /* that its diagonal grows to */
-	double off; /* usual distance of a sample, fading; 0: none yet */
+	double max_cov[RLS_MAX];      /* that its diagonal grows to */
+	double typical_error; /* usual distance of a sample, fading; 0: none yet */
 	double samples;
 };
 
--- a/lib/model/svc.c
+++ b/lib/model/svc.c
@@ -10,13 +10,13 @@
  * Before the first answers: an engine of middling size, and how far from it
  * one may well be. After some ten answers nothing is left of it.
  */
-static const double first_prior[SVC_FIRST_COEFS] = { 40, 20, 20, 2 };
-static const double first_spread[SVC_FIRST_COEFS] = { 60, 60, 30, 10 };
-static const double pace_prior[SVC_PACE_COEFS] = { 25, 2 };
-static const double pace_spread[SVC_PACE_COEFS] = { 60, 20 };
+static const double first_prior[SVC_TTFT_COEFS] = { 40, 20, 20, 2 };
+static const double first_spread[SVC_TTFT_COEFS] = { 60, 60, 30, 10 };
+static const double pace_prior[SVC_ITL_COEFS] = { 25, 2 };
+static const double pace_spread[SVC_ITL_COEFS] = { 60, 20 };
 #define RUN_MS_PRIOR 100.0
 
-/* Units of the features; see enum svc_first. */
+/* Units of the features; see enum svc_ttft_coef. */
 #define TOKENS_UNIT 1000.0
 #define RUNNING_UNIT 10.0
 
@@ -55,8 +55,8 @@
 	memset(s, 0, sizeof(*s));
 	str_copy(s->name, name, sizeof(s->name));
 	s->hash = hsh_str(name, 0);
-	rls_init(&s->first, SVC_FIRST_COEFS, first_prior, first_spread);
-	rls_init(&s->pace, SVC_PACE_COEFS, pace_prior, pace_spread);
+	rls_init(&s->ttft, SVC_TTFT_COEFS, first_prior, first_spread);
+	rls_init(&s->itl, SVC_ITL_COEFS, pace_prior, pace_spread);
 	s->run_ms = RUN_MS_PRIOR;
 }
 
@@ -65,8 +65,8 @@
 static void features(const struct svc_state *at, double *x)
 {
 	x[SVC_FIXED_MS] = 1;
-	x[SVC_READ_MS] = at->read_tokens / TOKENS_UNIT;
-	x[SVC_AHEAD_MS] = at->ahead_tokens / TOKENS_UNIT;
+	x[SVC_PREFILL_MS] = at->tokens_to_prefill / TOKENS_UNIT;
+	x[SVC_QUEUE_MS] = at->queued_tokens / TOKENS_UNIT;
 	x[SVC_RUNNING_MS] = at->running / RUNNING_UNIT;
 }
 
@@ -78,12 +78,12 @@
 	return at->slots > 0 && over > 0 ? over : 0;
 }
 
-double svc_first_ms(const struct svc *s, const struct svc_state *at)
+double svc_ttft_ms(const struct svc *s, const struct svc_state *at)
 {
-	double x[SVC_FIRST_COEFS], ms;
+	double x[SVC_TTFT_COEFS], ms;
 
 	features(at, x);
-	ms = rls_predict(&s->first, x);
+	ms = rls_predict(&s->ttft, x);
 	if (ms < 0)
 		ms = 0;
 	if (at->slots > 0)
@@ -91,9 +91,9 @@
 	return ms;
 }
 
-double svc_read_ms(const struct svc *s, double tokens)
+double svc_prefill_ms(const struct svc *s, double tokens)
 {
-	const double rate = s->first.coef[SVC_READ_MS];
+	const double rate = s->ttft.coef[SVC_PREFILL_MS];
 
 	return tokens / TOKENS_UNIT *
 	       (rate > LEAST_READ_MS ? rate : LEAST_READ_MS);
@@ -107,10 +107,10 @@
 			    beyond_slots(at) / slots);
 }
 
-double svc_runs_fit(const struct svc *s, double slots, double pause_ms)
+double svc_max_running(const struct svc *s, double slots, double pause_ms)
 {
-	const double step = s->pace.coef[SVC_STEP_MS];
-	const double more = s->pace.coef[SVC_STEP_RUNNING_MS] / RUNNING_UNIT;
+	const double step = s->itl.coef[SVC_STEP_MS];
+	const double more = s->itl.coef[SVC_STEP_RUNNING_MS] / RUNNING_UNIT;
 	double fit = slots * SLOTS_PART, by_pause;
 
 	if (fit < 1)
@@ -138,63 +138,69 @@
 	return s->weight > 0 ? s->sum / s->weight : 0;
 }
 
-double svc_busy(const struct svc *s, const struct svc_load *l, double fit)
+double svc_busy_endpoints(const struct svc *s, const struct svc_load *l,
+			  double fit)
 {
-	const double read_ms = l->read_ms > 0 ? l->read_ms
-					      : svc_read_ms(s, TOKENS_UNIT);
+	const double read_ms = l->prefill_ms > 0
+				       ? l->prefill_ms
+				       : svc_prefill_ms(s, TOKENS_UNIT);
 	const double alone = TOKENS_UNIT * 1000 / read_ms;
-	const double now = l->endpoints > 0 ? l->reads_per_s / l->endpoints : 0;
-	const double reading = l->reads_per_s / (alone + now) / READ_PART;
-	const double running = l->runs / fit;
+	const double now =
+		l->endpoints > 0 ? l->prefill_tokens_per_s / l->endpoints : 0;
+	const double reading =
+		l->prefill_tokens_per_s / (alone + now) / READ_PART;
+	const double running = l->running / fit;
 
 	return reading > running ? reading : running;
 }
 
 /* ---- Learning ---- */
 
-void svc_sent(struct svc *s, double read_tokens, int64_t now)
+void svc_on_sent(struct svc *s, double tokens_to_prefill, int64_t now)
 {
-	fade_add(&s->reads, read_tokens * 1000 / RATE_MS, RATE_MS, now);
+	fade_add(&s->prefill_rate, tokens_to_prefill * 1000 / RATE_MS, RATE_MS,
+		 now);
 }
 
-double svc_reads_per_s(const struct svc *s, int64_t now)
+double svc_prefill_tokens_per_s(const struct svc *s, int64_t now)
 {
-	return fade_at(&s->reads, RATE_MS, now);
+	return fade_at(&s->prefill_rate, RATE_MS, now);
 }
 
-void svc_first_seen(struct svc *s, const struct svc_state *at, double took_ms,
-		    bool sure)
+void svc_on_ttft(struct svc *s, const struct svc_state *at, double took_ms,
+		 bool sure)
 {
-	double x[SVC_FIRST_COEFS];
+	double x[SVC_TTFT_COEFS];
 
 	/* One that waited for a slot tells of the slots, not of reading. */
 	if (beyond_slots(at) > 0)
 		return;
 	features(at, x);
-	rls_learn(&s->first, x, took_ms, sure ? 1 : DOUBTFUL);
-	s->read_usual += (at->read_tokens - s->read_usual) *
-			 (s->read_usual > 0 ? MEAN_PART : 1);
+	rls_learn(&s->ttft, x, took_ms, sure ? 1 : DOUBTFUL);
+	s->typical_prefill_tokens +=
+		(at->tokens_to_prefill - s->typical_prefill_tokens) *
+		(s->typical_prefill_tokens > 0 ? MEAN_PART : 1);
 }
 
-void svc_pace_seen(struct svc *s, double running, double between_ms)
+void svc_on_itl(struct svc *s, double running, double between_ms)
 {
-	const double x[SVC_PACE_COEFS] = { 1, running / RUNNING_UNIT };
+	const double x[SVC_ITL_COEFS] = { 1, running / RUNNING_UNIT };
 
-	rls_learn(&s->pace, x, between_ms, 1);
+	rls_learn(&s->itl, x, between_ms, 1);
 }
 
-void svc_run_seen(struct svc *s, const struct svc_state *at, double took_ms)
+void svc_on_run_end(struct svc *s, const struct svc_state *at, double took_ms)
 {
-	double part = 1 / (s->run_seen + 1);
+	double part = 1 / (s->run_samples + 1);
 
 	if (beyond_slots(at) > 0)
 		return;
-	if (s->run_seen > 0 && took_ms > MEAN_EDGE * s->run_ms)
+	if (s->run_samples > 0 && took_ms > MEAN_EDGE * s->run_ms)
 		took_ms = MEAN_EDGE * s->run_ms;
 	if (part < MEAN_PART)
 		part = MEAN_PART;
 	else
-		s->run_seen += 1;
+		s->run_samples += 1;
 	s->run_ms += (took_ms - s->run_ms) * part;
 }
 
@@ -206,41 +212,41 @@
 	return fabs(now - told) > MOVED_PART * fabs(told) + 0.1;
 }
 
-bool svc_moved(struct svc *s)
+bool svc_should_log(struct svc *s)
 {
-	const double read_ms = svc_read_ms(s, TOKENS_UNIT);
+	const double read_ms = svc_prefill_ms(s, TOKENS_UNIT);
 
-	if (!far_from(read_ms, s->told_read_ms) &&
-	    !far_from(s->run_ms, s->told_run_ms))
+	if (!far_from(read_ms, s->logged_prefill_ms) &&
+	    !far_from(s->run_ms, s->logged_run_ms))
 		return false;
-	s->told_read_ms = read_ms;
-	s->told_run_ms = s->run_ms;
+	s->logged_prefill_ms = read_ms;
+	s->logged_run_ms = s->run_ms;
 	return true;
 }
 
 /* ---- Telling others ---- */
 
-void svc_tell(const struct svc *s, struct svc_told *out)
+void svc_export(const struct svc *s, struct svc_snapshot *out)
 {
 	memset(out, 0, sizeof(*out));
 	out->service = s->hash;
-	out->samples = s->first.samples;
-	memcpy(out->first, s->first.coef, sizeof(out->first));
-	out->first_off = s->first.off;
-	out->pace_samples = s->pace.samples;
-	memcpy(out->pace, s->pace.coef, sizeof(out->pace));
-	out->pace_off = s->pace.off;
+	out->ttft_samples = s->ttft.samples;
+	memcpy(out->ttft, s->ttft.coef, sizeof(out->ttft));
+	out->ttft_error = s->ttft.typical_error;
+	out->itl_samples = s->itl.samples;
+	memcpy(out->itl, s->itl.coef, sizeof(out->itl));
+	out->itl_error = s->itl.typical_error;
 	out->run_ms = s->run_ms;
-	out->run_seen = s->run_seen;
+	out->run_samples = s->run_samples;
 }
 
-void svc_adopt(struct svc *s, const struct svc_told *told)
+void svc_adopt(struct svc *s, const struct svc_snapshot *told)
 {
-	rls_adopt(&s->first, told->first, told->first_off, told->samples);
-	rls_adopt(&s->pace, told->pace, told->pace_off, told->pace_samples);
-	if (told->run_seen > s->run_seen && isfinite(told->run_ms) &&
+	rls_adopt(&s->ttft, told->ttft, told->ttft_error, told->ttft_samples);
+	rls_adopt(&s->itl, told->itl, told->itl_error, told->itl_samples);
+	if (told->run_samples > s->run_samples && isfinite(told->run_ms) &&
 	    told->run_ms > 0) {
 		s->run_ms = told->run_ms;
-		s->run_seen = told->run_seen;
+		s->run_samples = told->run_samples;
 	}
 }
--- a/lib/route/pick.c
+++ b/lib/route/pick.c
@@ -77,11 +77,11 @@
 }
 
 static struct svc_state state_of(const struct flt_endpoint *e,
-				 double read_tokens)
+				 double tokens_to_prefill)
 {
 	return (struct svc_state){
-		.read_tokens = read_tokens,
-		.ahead_tokens = e->prefill_tokens + e->peer_prefill_tokens,
+		.tokens_to_prefill = tokens_to_prefill,
+		.queued_tokens = e->prefill_tokens + e->peer_prefill_tokens,
 		.running = e->running + e->peer_running,
 		.slots = e->info.slots,
 	};
@@ -121,11 +121,13 @@
 
 	r->at = state_of(e, q->own_tokens + again);
 	if (q->engine) {
-		r->wait_ms = svc_first_ms(q->model, &r->at);
+		r->wait_ms = svc_ttft_ms(q->model, &r->at);
 		cost = r->wait_ms +
 		       r->at.running * RUN_PART *
-			       svc_read_ms(q->model, q->model->read_usual) +
-		       REREAD_EXTRA * svc_read_ms(q->model, again);
+			       svc_prefill_ms(
+				       q->model,
+				       q->model->typical_prefill_tokens) +
+		       REREAD_EXTRA * svc_prefill_ms(q->model, again);
 	} else {
 		r->wait_ms = svc_answer_ms(q->model, &r->at);
 		cost = r->wait_ms;
--- a/tests/test_flt.c
+++ b/tests/test_flt.c
@@ -278,11 +278,11 @@
 	static struct svc s;
 
 	svc_init(&s, "llm");
-	s.first.coef[SVC_FIXED_MS] = 95;
-	s.first.coef[SVC_READ_MS] = 1000 / 61.4;
-	s.first.coef[SVC_AHEAD_MS] = 1000 / 61.4;
-	s.first.coef[SVC_RUNNING_MS] = 5.4;
-	s.read_usual = 3200;
+	s.ttft.coef[SVC_FIXED_MS] = 95;
+	s.ttft.coef[SVC_PREFILL_MS] = 1000 / 61.4;
+	s.ttft.coef[SVC_QUEUE_MS] = 1000 / 61.4;
+	s.ttft.coef[SVC_RUNNING_MS] = 5.4;
+	s.typical_prefill_tokens = 3200;
 	s.run_ms = 45;
 	return &s;
 }
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -96,32 +96,33 @@
  */
 static void one_bad_sample_does_not_tip_the_model(void)
 {
-	const struct svc_state at = { .read_tokens = 2000, .slots = 64 };
+	const struct svc_state at = { .tokens_to_prefill = 2000, .slots = 64 };
 	struct svc s;
 	double before;
 	int i;
 
 	svc_init(&s, "llm");
 	for (i = 0; i < 100; i++) {
-		const struct svc_state some = { .read_tokens = 500.0 + i * 40,
+		const struct svc_state some = { .tokens_to_prefill =
+							500.0 + i * 40,
 						.running = i % 10,
 						.slots = 64 };
 
-		svc_first_seen(&s, &some, 20 + some.read_tokens / 50 + i % 7,
-			       true);
+		svc_on_ttft(&s, &some, 20 + some.tokens_to_prefill / 50 + i % 7,
+			    true);
 	}
-	before = svc_first_ms(&s, &at);
+	before = svc_ttft_ms(&s, &at);
 	CU_ASSERT_DOUBLE_EQUAL(before, 63, 6);
-	svc_first_seen(&s, &at, 30000, true);
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&s, &at), before, 5);
-	svc_first_seen(&s, &at, NAN, true);
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&s, &at), before, 5);
+	svc_on_ttft(&s, &at, 30000, true);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&s, &at), before, 5);
+	svc_on_ttft(&s, &at, NAN, true);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&s, &at), before, 5);
 }
 
 /* The pattern: new weights, half as fast, replace the old ones. */
 static void follows_an_engine_that_changes(void)
 {
-	const struct svc_state at = { .read_tokens = 4000, .slots = 64 };
+	const struct svc_state at = { .tokens_to_prefill = 4000, .slots = 64 };
 	struct svc s;
 	struct rnd rnd;
 	int i;
@@ -130,17 +131,17 @@
 	svc_init(&s, "llm");
 	for (i = 0; i < 900; i++) {
 		const double tokens = uniform(&rnd, 200, 8000);
-		const struct svc_state some = { .read_tokens = tokens,
+		const struct svc_state some = { .tokens_to_prefill = tokens,
 						.slots = 64 };
 
-		svc_first_seen(&s, &some,
-			       30 + tokens / (i < 400 ? 60 : 30) +
-				       uniform(&rnd, -5, 5),
-			       true);
+		svc_on_ttft(&s, &some,
+			    30 + tokens / (i < 400 ? 60 : 30) +
+				    uniform(&rnd, -5, 5),
+			    true);
 		if (i == 399)
-			CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&s, &at), 97, 10);
+			CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&s, &at), 97, 10);
 	}
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&s, &at), 163, 16);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&s, &at), 163, 16);
 }
 
 /* ---- Engines drawn at random ---- */
@@ -173,18 +174,19 @@
 static double predict_truth(struct twin *t, const struct svc_state *at)
 {
 	return t->truth->fixed_ms +
-	       t->truth->read_ms * (at->read_tokens + at->ahead_tokens) / 1000 +
+	       t->truth->read_ms * (at->tokens_to_prefill + at->queued_tokens) /
+		       1000 +
 	       t->truth->running_ms * at->running / 10;
 }
 
 static double predict_learned(struct twin *t, const struct svc_state *at)
 {
-	return svc_first_ms(&t->svc, at);
+	return svc_ttft_ms(&t->svc, at);
 }
 
 static void learn_all(struct twin *t, const struct svc_state *at, double ms)
 {
-	svc_first_seen(&t->svc, at, ms, true);
+	svc_on_ttft(&t->svc, at, ms, true);
 }
 
 static void learn_nothing(struct twin *t, const struct svc_state *at, double ms)
@@ -197,12 +199,12 @@
 /* Takes the last sample for the whole truth. */
 static double predict_last(struct twin *t, const struct svc_state *at)
 {
-	return svc_first_ms(&t->svc, at) * t->factor;
+	return svc_ttft_ms(&t->svc, at) * t->factor;
 }
 
 static void learn_last(struct twin *t, const struct svc_state *at, double ms)
 {
-	t->factor = ms / (svc_first_ms(&t->svc, at) + 1);
+	t->factor = ms / (svc_ttft_ms(&t->svc, at) + 1);
 }
 
 struct outcome {
@@ -237,10 +239,10 @@
 				 uint64_t part)
 {
 	return (struct svc_state){
-		.read_tokens = own + (p->part == part ? 0 : shared),
-		.ahead_tokens = p->free_ms > now
-					? (p->free_ms - now) * 1000 / t->read_ms
-					: 0,
+		.tokens_to_prefill = own + (p->part == part ? 0 : shared),
+		.queued_tokens = p->free_ms > now ? (p->free_ms - now) * 1000 /
+							    t->read_ms
+						  : 0,
 		.running = running_at(p, now),
 		.slots = 64,
 	};
@@ -282,7 +284,7 @@
 		t->truth = truth;
 		took = predict_truth(t, &at) * noise;
 		places[best].free_ms =
-			now + (at.ahead_tokens + at.read_tokens) / 1000 *
+			now + (at.queued_tokens + at.tokens_to_prefill) / 1000 *
 				      truth->read_ms;
 		run_there(&places[best], now,
 			  now + took + uniform(&rnd, 0, 2000));
@@ -397,19 +399,19 @@
 	int i;
 
 	svc_init(&s, "llm");
-	fit = svc_runs_fit(&s, 64, 0);
+	fit = svc_max_running(&s, 64, 0);
 	CU_ASSERT(fit > 1 && fit <= 64);
 	for (i = 0; i < 100; i++) {
 		const struct svc_load load = { i * 5000.0, i * 2.0, 10, 0 };
-		const double busy = svc_busy(&s, &load, fit);
+		const double busy = svc_busy_endpoints(&s, &load, fit);
 
 		CU_ASSERT(busy >= last);
 		last = busy;
 	}
 	/* Few slots bind before reading does. */
-	CU_ASSERT(svc_busy(&s, &many_runs, svc_runs_fit(&s, 12, 0)) >=
-		  100 / 12.0);
-	CU_ASSERT(svc_runs_fit(&s, 1, 0) >= 1);
+	CU_ASSERT(svc_busy_endpoints(&s, &many_runs,
+				     svc_max_running(&s, 12, 0)) >= 100 / 12.0);
+	CU_ASSERT(svc_max_running(&s, 1, 0) >= 1);
 }
 
 /*
@@ -428,10 +430,10 @@
 	double idle, busy;
 
 	svc_init(&s, "llm");
-	s.first.coef[SVC_READ_MS] = 20 / (1 - 0.05);
-	idle = svc_busy(&s, &light, 64) / light.reads_per_s;
-	s.first.coef[SVC_READ_MS] = 20 / (1 - part);
-	busy = svc_busy(&s, &heavy, 64) / heavy.reads_per_s;
+	s.ttft.coef[SVC_PREFILL_MS] = 20 / (1 - 0.05);
+	idle = svc_busy_endpoints(&s, &light, 64) / light.prefill_tokens_per_s;
+	s.ttft.coef[SVC_PREFILL_MS] = 20 / (1 - part);
+	busy = svc_busy_endpoints(&s, &heavy, 64) / heavy.prefill_tokens_per_s;
 	CU_ASSERT_DOUBLE_EQUAL(busy / idle, 1, 0.02);
 }
 
@@ -443,15 +445,16 @@
 	svc_init(s, "llm");
 	for (i = 0; i < 30; i++) {
 		const struct svc_state at = {
-			.read_tokens = uniform(rnd, 500, 17000),
-			.ahead_tokens = uniform(rnd, 0, 20000),
+			.tokens_to_prefill = uniform(rnd, 500, 17000),
+			.queued_tokens = uniform(rnd, 0, 20000),
 			.running = uniform(rnd, 0, 40),
 			.slots = 64,
 		};
-		const double ms = 30 + (at.read_tokens + at.ahead_tokens) /
-					       1000 * read_ms;
+		const double ms =
+			30 + (at.tokens_to_prefill + at.queued_tokens) / 1000 *
+				     read_ms;
 
-		svc_first_seen(s, &at, ms * uniform(rnd, 0.2, 1.8), true);
+		svc_on_ttft(s, &at, ms * uniform(rnd, 0.2, 1.8), true);
 	}
 }
 
@@ -468,23 +471,24 @@
 
 	rnd_seed(&rnd, 11);
 	svc_init(&s, "llm");
-	truth = svc_busy(&s, &load, 64);
-	load.read_ms = 0;
+	truth = svc_busy_endpoints(&s, &load, 64);
+	load.prefill_ms = 0;
 	for (i = 0; i < 80; i++) {
 		double busy;
 
 		learn_few(&s, &rnd, read_ms);
-		busy = svc_busy(&s, &load, 64);
+		busy = svc_busy_endpoints(&s, &load, 64);
 		least = busy < least ? busy : least;
 		most = busy > most ? busy : most;
-		svc_slope_add(&mean, s.first.coef[SVC_READ_MS],
-			      s.first.samples);
+		svc_slope_add(&mean, s.ttft.coef[SVC_PREFILL_MS],
+			      s.ttft.samples);
 	}
 	CU_ASSERT(most > 1.5 * least);
-	load.read_ms = svc_slope_mean(&mean);
+	load.prefill_ms = svc_slope_mean(&mean);
 	printf("  need: truth %.1f, by one entry %.1f to %.1f, by all %.1f\n",
-	       truth, least, most, svc_busy(&s, &load, 64));
-	CU_ASSERT_DOUBLE_EQUAL(svc_busy(&s, &load, 64) / truth, 1, 0.15);
+	       truth, least, most, svc_busy_endpoints(&s, &load, 64));
+	CU_ASSERT_DOUBLE_EQUAL(svc_busy_endpoints(&s, &load, 64) / truth, 1,
+			       0.15);
 }
 
 static void useless_slopes_are_left_out(void)
@@ -510,10 +514,10 @@
 
 	svc_init(&s, "llm");
 	for (i = 0; i < 400; i++)
-		svc_pace_seen(&s, i % 40, 50 + 10 * (i % 40));
-	CU_ASSERT(svc_runs_fit(&s, 64, 0) > 40);
-	CU_ASSERT_DOUBLE_EQUAL(svc_runs_fit(&s, 64, 400), 15, 2);
-	CU_ASSERT(svc_runs_fit(&s, 64, 60) >= 1);
+		svc_on_itl(&s, i % 40, 50 + 10 * (i % 40));
+	CU_ASSERT(svc_max_running(&s, 64, 0) > 40);
+	CU_ASSERT_DOUBLE_EQUAL(svc_max_running(&s, 64, 400), 15, 2);
+	CU_ASSERT(svc_max_running(&s, 64, 60) >= 1);
 }
 
 /* Who waits for a slot is told so, and does not spoil what reading takes. */
@@ -527,22 +531,22 @@
 
 	svc_init(&s, "llm");
 	for (i = 0; i < 50; i++)
-		svc_run_seen(&s, &room, 800);
+		svc_on_run_end(&s, &room, 800);
 	CU_ASSERT_DOUBLE_EQUAL(s.run_ms, 800, 1);
-	CU_ASSERT(svc_first_ms(&s, &full) - svc_first_ms(&s, &room) > 150);
-	before = svc_first_ms(&s, &room);
+	CU_ASSERT(svc_ttft_ms(&s, &full) - svc_ttft_ms(&s, &room) > 150);
+	before = svc_ttft_ms(&s, &room);
 	for (i = 0; i < 50; i++)
-		svc_first_seen(&s, &full, 5000, true);
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&s, &room), before, 0.001);
+		svc_on_ttft(&s, &full, 5000, true);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&s, &room), before, 0.001);
 }
 
 /* ---- Told by others ---- */
 
 static void a_new_entry_begins_with_what_others_learned(void)
 {
-	const struct svc_state at = { .read_tokens = 3000, .slots = 64 };
+	const struct svc_state at = { .tokens_to_prefill = 3000, .slots = 64 };
 	struct svc old, fresh;
-	struct svc_told told, wrong;
+	struct svc_snapshot told, wrong;
 	struct rnd rnd;
 	int i;
 
@@ -550,29 +554,30 @@
 	svc_init(&old, "llm");
 	svc_init(&fresh, "llm");
 	for (i = 0; i < 200; i++) {
-		const struct svc_state some = {
-			.read_tokens = uniform(&rnd, 100, 6000), .slots = 64
-		};
+		const struct svc_state some = { .tokens_to_prefill = uniform(
+							&rnd, 100, 6000),
+						.slots = 64 };
 
-		svc_first_seen(&old, &some, 10 + some.read_tokens / 10, true);
-		svc_run_seen(&old, &some, 1500);
+		svc_on_ttft(&old, &some, 10 + some.tokens_to_prefill / 10,
+			    true);
+		svc_on_run_end(&old, &some, 1500);
 	}
-	svc_tell(&old, &told);
+	svc_export(&old, &told);
 	wrong = told;
-	wrong.first[SVC_READ_MS] = NAN;
+	wrong.ttft[SVC_PREFILL_MS] = NAN;
 	wrong.run_ms = -1;
 	svc_adopt(&fresh, &wrong);
-	CU_ASSERT(isfinite(svc_first_ms(&fresh, &at)));
+	CU_ASSERT(isfinite(svc_ttft_ms(&fresh, &at)));
 	CU_ASSERT(fresh.run_ms > 0);
 	svc_adopt(&fresh, &told);
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&fresh, &at), 310, 15);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&fresh, &at), 310, 15);
 	CU_ASSERT_DOUBLE_EQUAL(fresh.run_ms, 1500, 1);
 	/* Who learned enough itself goes on with that. */
 	wrong = told;
-	wrong.first[SVC_READ_MS] = 1;
-	wrong.samples = 1e6;
+	wrong.ttft[SVC_PREFILL_MS] = 1;
+	wrong.ttft_samples = 1e6;
 	svc_adopt(&old, &wrong);
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&old, &at), 310, 15);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&old, &at), 310, 15);
 }
 
 /*
@@ -584,9 +589,9 @@
  */
 static void what_was_adopted_many_times_is_still_corrected(void)
 {
-	const struct svc_state at = { .read_tokens = 3000, .slots = 64 };
+	const struct svc_state at = { .tokens_to_prefill = 3000, .slots = 64 };
 	struct svc cold, fresh;
-	struct svc_told told;
+	struct svc_snapshot told;
 	struct rnd rnd;
 	int i;
 
@@ -594,28 +599,30 @@
 	svc_init(&cold, "llm");
 	svc_init(&fresh, "llm");
 	for (i = 0; i < 15; i++) {
-		const struct svc_state some = {
-			.read_tokens = uniform(&rnd, 100, 6000), .slots = 64
-		};
+		const struct svc_state some = { .tokens_to_prefill = uniform(
+							&rnd, 100, 6000),
+						.slots = 64 };
 
-		svc_first_seen(&cold, &some, 10 + some.read_tokens / 10, true);
-		svc_pace_seen(&cold, 3, 80);
-		svc_tell(&cold, &told);
-		told.samples += 1;
-		told.pace_samples += 1;
+		svc_on_ttft(&cold, &some, 10 + some.tokens_to_prefill / 10,
+			    true);
+		svc_on_itl(&cold, 3, 80);
+		svc_export(&cold, &told);
+		told.ttft_samples += 1;
+		told.itl_samples += 1;
 		svc_adopt(&fresh, &told);
 		svc_adopt(&fresh, &told);
 	}
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&fresh, &at), 310, 30);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&fresh, &at), 310, 30);
 	for (i = 0; i < 250; i++) {
-		const struct svc_state some = {
-			.read_tokens = uniform(&rnd, 100, 6000), .slots = 64
-		};
+		const struct svc_state some = { .tokens_to_prefill = uniform(
+							&rnd, 100, 6000),
+						.slots = 64 };
 
-		svc_first_seen(&fresh, &some, 10 + some.read_tokens / 50, true);
-		svc_pace_seen(&fresh, 3, 20);
+		svc_on_ttft(&fresh, &some, 10 + some.tokens_to_prefill / 50,
+			    true);
+		svc_on_itl(&fresh, 3, 20);
 	}
-	CU_ASSERT_DOUBLE_EQUAL(svc_first_ms(&fresh, &at), 70, 20);
+	CU_ASSERT_DOUBLE_EQUAL(svc_ttft_ms(&fresh, &at), 70, 20);
 }
 
 static void a_moved_belief_is_told_once(void)
@@ -625,11 +632,11 @@
 	int i, told = 0;
 
 	svc_init(&s, "llm");
-	CU_ASSERT(svc_moved(&s));
-	CU_ASSERT_FALSE(svc_moved(&s));
+	CU_ASSERT(svc_should_log(&s));
+	CU_ASSERT_FALSE(svc_should_log(&s));
 	for (i = 0; i < 100; i++) {
-		svc_run_seen(&s, &at, 1000);
-		told += svc_moved(&s);
+		svc_on_run_end(&s, &at, 1000);
+		told += svc_should_log(&s);
 	}
 	CU_ASSERT(told >= 1 && told <= 3);
 }
--- a/tests/test_prs.c
+++ b/tests/test_prs.c
@@ -32,16 +32,16 @@
 	r->rolled_back[0] = 23;
 	r->nr_services = 1;
 	r->services[0].reads_per_s = 152000;
-	r->services[0].told = (struct svc_told){
+	r->services[0].told = (struct svc_snapshot){
 		.service = 42,
-		.samples = 200,
-		.first = { 40, 16.5, 12, 3 },
-		.first_off = 20,
-		.pace_samples = 90,
-		.pace = { 25, 2 },
-		.pace_off = 4,
+		.ttft_samples = 200,
+		.ttft = { 40, 16.5, 12, 3 },
+		.ttft_error = 20,
+		.itl_samples = 90,
+		.itl = { 25, 2 },
+		.itl_error = 4,
 		.run_ms = 1150,
-		.run_seen = 50,
+		.run_samples = 50,
 	};
 	r->nr_counts = 1;
 	r->counts[0].source = 5;
@@ -76,8 +76,8 @@
 	CU_ASSERT_EQUAL(heard.nr_services, 1);
 	CU_ASSERT_EQUAL(heard.services[0].told.service, 42);
 	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].reads_per_s, 152000, 1);
-	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].told.first[SVC_READ_MS], 16.5,
-			       0.001);
+	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].told.ttft[SVC_PREFILL_MS],
+			       16.5, 0.001);
 	CU_ASSERT_DOUBLE_EQUAL(heard.services[0].told.run_ms, 1150, 0.01);
 	CU_ASSERT_EQUAL(heard.store_era, 3);
 	CU_ASSERT_EQUAL(heard.nr_fatal, 1);
