--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -240,7 +240,7 @@
 	hmsg_put_chunk(&out, events.data, events.len);
 	hsc_write(r->conn, out.data, out.len);
 	/* All events that the stopped run made are there: it goes on. */
-	if (hand_event(&r->hand, r->events.last_id) == HAND_CONTINUE)
+	if (hand_on_event(&r->hand, r->events.last_id) == HAND_CONTINUE)
 		edge_move_on(r);
 }
 
@@ -382,7 +382,7 @@
 
 static void broke(struct edge_req *r, const char *why, bool by_connection)
 {
-	if (handed_on(r, hand_broke(&r->hand)))
+	if (handed_on(r, hand_on_stream_broken(&r->hand)))
 		return;
 	edge_rollout_failed(r, by_connection);
 	edge_fatal_broke(r);
@@ -403,9 +403,9 @@
 		finish_answer(r);
 		return;
 	}
-	if (evs_torn(&r->events))
+	if (evs_has_partial(&r->events))
 		broke(r, "stream ended within an event", true);
-	else if (!handed_on(r, hand_ended(&r->hand)))
+	else if (!handed_on(r, hand_on_stream_closed(&r->hand)))
 		finish_stream(r);
 }
 
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -70,14 +70,14 @@
 
 	met_inc(r->en->m.moves_failed);
 	log_move(m, why);
-	switch (hand_refused(&r->hand)) {
+	switch (hand_on_refused(&r->hand)) {
 	case HAND_DONE:
 		edge_send_finished(r);
 		break;
 	case HAND_LOST:
 		edge_send_lost(r, "stopped for a copy that failed");
 		break;
-	case HAND_STAY:
+	case HAND_NO_CHANGE:
 	case HAND_WAIT:
 	case HAND_CONTINUE:
 		edge_move_stop(r);
@@ -118,7 +118,7 @@
 	}
 	met_inc(r->en->m.moves);
 	log_move(m, "copied");
-	if (hand_granted(&r->hand, m->moved.created, r->events.last_id) ==
+	if (hand_on_granted(&r->hand, m->moved.created, r->events.last_id) ==
 	    HAND_CONTINUE)
 		edge_move_on(r);
 }
@@ -171,7 +171,7 @@
 	/* The next target is chosen with this one in mind. */
 	to->running++;
 	r->move = m;
-	hand_asked(&r->hand);
+	hand_on_requested(&r->hand);
 	r->en->wire->move(r->a.id, to->info.address, &wire);
 	m->call =
 		htc_start(from, &wire, 0, false, MOVE_CALL_MS, &move_vtable, m);
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -182,7 +182,7 @@
 	r->sent_ms = now;
 	r->sent_true_ms = walltime_now(&en->walltime, now);
 	memset(&r->reply, 0, sizeof(r->reply));
-	evs_restart(&r->events);
+	evs_drop_partial(&r->events);
 	log_send(r, p, &f);
 	en->wire->forward(&c->parse.msg, &c->body, &r->a, &f, &wire);
 	rq_sent(&r->rq);
--- a/lib/stream/evs.c
+++ b/lib/stream/evs.c
@@ -14,7 +14,7 @@
 
 void evs_free(struct evs *s)
 {
-	buf_free(&s->part);
+	buf_free(&s->partial);
 }
 
 /* The id of an event that is held whole in `text`, or -1. */
@@ -56,12 +56,12 @@
 static size_t take_event(struct evs *s, size_t len, int64_t skip_to,
 			 struct buf *out)
 {
-	const char after = s->part.data[len];
+	const char after = s->partial.data[len];
 	int64_t id;
 
-	s->part.data[len] = '\0';
-	id = event_id(s->part.data);
-	s->part.data[len] = after;
+	s->partial.data[len] = '\0';
+	id = event_id(s->partial.data);
+	s->partial.data[len] = after;
 	if (id >= 0 && id <= skip_to)
 		return 0;
 	if (id >= 0) {
@@ -70,34 +70,34 @@
 		s->last_id = id;
 	}
 	s->events++;
-	buf_add(out, s->part.data, len);
+	buf_add(out, s->partial.data, len);
 	return 1;
 }
 
 size_t evs_feed(struct evs *s, const char *data, size_t len, int64_t skip_to,
 		struct buf *out)
 {
-	size_t from = s->part.len > 2 ? s->part.len - 2 : 0;
+	size_t from = s->partial.len > 2 ? s->partial.len - 2 : 0;
 	size_t n = 0, end;
 
-	buf_add(&s->part, data, len);
-	while ((end = find_end(&s->part, from))) {
+	buf_add(&s->partial, data, len);
+	while ((end = find_end(&s->partial, from))) {
 		n += take_event(s, end, skip_to, out);
-		buf_shift(&s->part, end);
+		buf_shift(&s->partial, end);
 		from = 0;
 	}
-	if (!s->part.len)
-		buf_free(&s->part);
-	s->too_large = s->part.len > EVS_MAX_EVENT;
+	if (!s->partial.len)
+		buf_free(&s->partial);
+	s->too_large = s->partial.len > EVS_MAX_EVENT_BYTES;
 	return n;
 }
 
-bool evs_torn(const struct evs *s)
+bool evs_has_partial(const struct evs *s)
 {
-	return s->part.len != 0;
+	return s->partial.len != 0;
 }
 
-void evs_restart(struct evs *s)
+void evs_drop_partial(struct evs *s)
 {
-	buf_free(&s->part);
+	buf_free(&s->partial);
 }
--- a/lib/stream/evs.h
+++ b/lib/stream/evs.h
@@ -15,13 +15,13 @@
 #include "base/buf.h"
 
 /* An event is below 300 bytes; one that does not end by then is a fault. */
-#define EVS_MAX_EVENT 65536
+#define EVS_MAX_EVENT_BYTES 65536
 
 struct evs {
-	struct buf part; /* the event in progress */
-	int64_t last_id; /* of the last whole event; -1: none */
-	uint64_t events; /* whole events so far */
-	bool ordered;	 /* ids went up by one each time */
+	struct buf partial; /* the event in progress */
+	int64_t last_id;    /* of the last whole event; -1: none */
+	uint64_t events;    /* whole events so far */
+	bool ordered;	    /* ids went up by one each time */
 	bool too_large;
 };
 
@@ -37,9 +37,9 @@
 		struct buf *out);
 
 /* True if bytes of an event that has not ended are held. */
-bool evs_torn(const struct evs *s);
+bool evs_has_partial(const struct evs *s);
 
 /* A new source follows: the torn event is dropped, ids go on. */
-void evs_restart(struct evs *s);
+void evs_drop_partial(struct evs *s);
 
 #endif
--- a/lib/stream/hand.c
+++ b/lib/stream/hand.c
@@ -2,36 +2,36 @@
 
 #include <assert.h>
 
-void hand_asked(struct hand *h)
+void hand_on_requested(struct hand *h)
 {
 	assert(h->state == HAND_NONE);
-	h->state = HAND_ASKED;
+	h->state = HAND_REQUESTED;
 }
 
-enum hand_step hand_granted(struct hand *h, int64_t created, int64_t last_id)
+enum hand_step hand_on_granted(struct hand *h, int64_t created, int64_t last_id)
 {
-	assert(h->state == HAND_ASKED);
+	assert(h->state == HAND_REQUESTED);
 	h->state = HAND_GRANTED;
-	h->created = created;
-	if (h->broke || h->ended)
+	h->events_at_stop = created;
+	if (h->stream_broken || h->stream_closed)
 		return HAND_CONTINUE;
-	return hand_event(h, last_id);
+	return hand_on_event(h, last_id);
 }
 
-enum hand_step hand_refused(struct hand *h)
+enum hand_step hand_on_refused(struct hand *h)
 {
-	assert(h->state == HAND_ASKED);
+	assert(h->state == HAND_REQUESTED);
 	h->state = HAND_REFUSED;
-	if (h->ended)
+	if (h->stream_closed)
 		return HAND_DONE;
-	return h->broke ? HAND_LOST : HAND_STAY;
+	return h->stream_broken ? HAND_LOST : HAND_NO_CHANGE;
 }
 
 /* The stream is over; `alone`: what that means without a call for it. */
 static enum hand_step closed(const struct hand *h, enum hand_step alone)
 {
 	switch (h->state) {
-	case HAND_ASKED:
+	case HAND_REQUESTED:
 		return HAND_WAIT;
 	case HAND_GRANTED:
 		return HAND_CONTINUE;
@@ -42,21 +42,21 @@
 	return alone;
 }
 
-enum hand_step hand_broke(struct hand *h)
+enum hand_step hand_on_stream_broken(struct hand *h)
 {
-	h->broke = true;
+	h->stream_broken = true;
 	return closed(h, HAND_LOST);
 }
 
-enum hand_step hand_ended(struct hand *h)
+enum hand_step hand_on_stream_closed(struct hand *h)
 {
-	h->ended = true;
+	h->stream_closed = true;
 	return closed(h, HAND_DONE);
 }
 
-enum hand_step hand_event(const struct hand *h, int64_t last_id)
+enum hand_step hand_on_event(const struct hand *h, int64_t last_id)
 {
 	if (h->state != HAND_GRANTED)
-		return HAND_STAY;
-	return last_id >= h->created ? HAND_CONTINUE : HAND_WAIT;
+		return HAND_NO_CHANGE;
+	return last_id >= h->events_at_stop ? HAND_CONTINUE : HAND_WAIT;
 }
--- a/lib/stream/hand.h
+++ b/lib/stream/hand.h
@@ -21,45 +21,46 @@
 
 enum hand_state {
 	HAND_NONE,
-	HAND_ASKED,
+	HAND_REQUESTED,
 	HAND_GRANTED, /* the run is stopped, its memory is copied */
 	HAND_REFUSED, /* or no answer came */
 };
 
 enum hand_step {
-	HAND_STAY,     /* the stream goes on where it is */
-	HAND_WAIT,     /* for the other of the two */
-	HAND_CONTINUE, /* send the request to the target */
-	HAND_LOST,     /* the stream broke, and nothing was copied */
-	HAND_DONE,     /* the stream had come to its end before */
+	HAND_NO_CHANGE, /* the stream goes on where it is */
+	HAND_WAIT,	/* for the other of the two */
+	HAND_CONTINUE,	/* send the request to the target */
+	HAND_LOST,	/* the stream broke, and nothing was copied */
+	HAND_DONE,	/* the stream had come to its end before */
 };
 
 struct hand {
 	enum hand_state state;
-	bool broke;	 /* the first endpoint's stream closed */
-	bool ended;	 /* in a way that may be its end */
-	int64_t created; /* events that the run had made when it stopped */
+	bool stream_broken;	/* the first endpoint's stream closed */
+	bool stream_closed;	/* in a way that may be its end */
+	int64_t events_at_stop; /* events that the run had made when it stopped */
 };
 
 /* The call is sent. A stream is handed on once from each endpoint. */
-void hand_asked(struct hand *h);
+void hand_on_requested(struct hand *h);
 
 /* The call was granted: `created` events were made until then. */
-enum hand_step hand_granted(struct hand *h, int64_t created, int64_t last_id);
+enum hand_step hand_on_granted(struct hand *h, int64_t created,
+			       int64_t last_id);
 
 /* The call was refused, or its answer was lost. */
-enum hand_step hand_refused(struct hand *h);
+enum hand_step hand_on_refused(struct hand *h);
 
 /* The stream closed without its end. */
-enum hand_step hand_broke(struct hand *h);
+enum hand_step hand_on_stream_broken(struct hand *h);
 
 /*
  * The stream closed as it does at its end. Where its length is not stated
  * that may also be the stop that we asked for: the answer tells.
  */
-enum hand_step hand_ended(struct hand *h);
+enum hand_step hand_on_stream_closed(struct hand *h);
 
 /* Events came; `last_id`: of the last whole one. */
-enum hand_step hand_event(const struct hand *h, int64_t last_id);
+enum hand_step hand_on_event(const struct hand *h, int64_t last_id);
 
 #endif
--- a/tests/test_evs.c
+++ b/tests/test_evs.c
@@ -42,7 +42,7 @@
 		}
 		CU_ASSERT_EQUAL(s.events, 12);
 		CU_ASSERT_EQUAL(s.last_id, 12);
-		CU_ASSERT_FALSE(evs_torn(&s));
+		CU_ASSERT_FALSE(evs_has_partial(&s));
 		CU_ASSERT_EQUAL(out.len, all.len);
 		CU_ASSERT_STRING_EQUAL(buf_cstr(&out), buf_cstr(&all));
 		evs_free(&s);
@@ -66,8 +66,8 @@
 	make_stream(&first, 1, 4, false);
 	evs_feed(&s, first.data, first.len - 9, -1, &out);
 	CU_ASSERT_EQUAL(s.last_id, 3);
-	CU_ASSERT(evs_torn(&s));
-	evs_restart(&s);
+	CU_ASSERT(evs_has_partial(&s));
+	evs_drop_partial(&s);
 	make_stream(&second, 4, 3, false);
 	evs_feed(&s, second.data, second.len, s.last_id, &out);
 	make_stream(&want, 1, 6, false);
@@ -101,7 +101,7 @@
 
 	evs_init(&s);
 	memset(line, 'x', sizeof(line));
-	for (i = 0; i <= EVS_MAX_EVENT / 1024; i++)
+	for (i = 0; i <= EVS_MAX_EVENT_BYTES / 1024; i++)
 		evs_feed(&s, line, sizeof(line), -1, &out);
 	CU_ASSERT(s.too_large);
 	CU_ASSERT_EQUAL(out.len, 0);
--- a/tests/test_hand.c
+++ b/tests/test_hand.c
@@ -15,10 +15,10 @@
 static enum hand_step end_stream(struct hand *h, enum stream s)
 {
 	if (s == BREAKS)
-		return hand_broke(h);
+		return hand_on_stream_broken(h);
 	if (s == ENDS)
-		return hand_ended(h);
-	return HAND_STAY;
+		return hand_on_stream_closed(h);
+	return HAND_NO_CHANGE;
 }
 
 /*
@@ -31,44 +31,44 @@
 	struct hand h;
 
 	memset(&h, 0, sizeof(h));
-	hand_asked(&h);
-	CU_ASSERT_EQUAL(hand_broke(&h), HAND_WAIT);
-	CU_ASSERT_EQUAL(hand_granted(&h, 12, 9), HAND_CONTINUE);
+	hand_on_requested(&h);
+	CU_ASSERT_EQUAL(hand_on_stream_broken(&h), HAND_WAIT);
+	CU_ASSERT_EQUAL(hand_on_granted(&h, 12, 9), HAND_CONTINUE);
 
 	memset(&h, 0, sizeof(h));
-	hand_asked(&h);
-	CU_ASSERT_EQUAL(hand_granted(&h, 12, 9), HAND_WAIT);
-	CU_ASSERT_EQUAL(hand_event(&h, 11), HAND_WAIT);
-	CU_ASSERT_EQUAL(hand_event(&h, 12), HAND_CONTINUE);
+	hand_on_requested(&h);
+	CU_ASSERT_EQUAL(hand_on_granted(&h, 12, 9), HAND_WAIT);
+	CU_ASSERT_EQUAL(hand_on_event(&h, 11), HAND_WAIT);
+	CU_ASSERT_EQUAL(hand_on_event(&h, 12), HAND_CONTINUE);
 
 	memset(&h, 0, sizeof(h));
-	hand_asked(&h);
-	CU_ASSERT_EQUAL(hand_granted(&h, 12, 9), HAND_WAIT);
-	CU_ASSERT_EQUAL(hand_broke(&h), HAND_CONTINUE);
+	hand_on_requested(&h);
+	CU_ASSERT_EQUAL(hand_on_granted(&h, 12, 9), HAND_WAIT);
+	CU_ASSERT_EQUAL(hand_on_stream_broken(&h), HAND_CONTINUE);
 
 	memset(&h, 0, sizeof(h));
-	hand_asked(&h);
-	CU_ASSERT_EQUAL(hand_granted(&h, 12, 12), HAND_CONTINUE);
+	hand_on_requested(&h);
+	CU_ASSERT_EQUAL(hand_on_granted(&h, 12, 12), HAND_CONTINUE);
 }
 
 /* A refusal leaves the stream as it would have been without the call. */
 static void refused_call_changes_nothing(void)
 {
-	static const enum hand_step want[STREAMS] = { HAND_STAY, HAND_LOST,
+	static const enum hand_step want[STREAMS] = { HAND_NO_CHANGE, HAND_LOST,
 						      HAND_DONE };
 	struct hand h;
 	int s;
 
 	for (s = 0; s < STREAMS; s++) {
 		memset(&h, 0, sizeof(h));
-		hand_asked(&h);
-		CU_ASSERT_EQUAL(hand_refused(&h), HAND_STAY);
+		hand_on_requested(&h);
+		CU_ASSERT_EQUAL(hand_on_refused(&h), HAND_NO_CHANGE);
 		CU_ASSERT_EQUAL(end_stream(&h, (enum stream)s), want[s]);
 
 		memset(&h, 0, sizeof(h));
-		hand_asked(&h);
+		hand_on_requested(&h);
 		end_stream(&h, (enum stream)s);
-		CU_ASSERT_EQUAL(hand_refused(&h), want[s]);
+		CU_ASSERT_EQUAL(hand_on_refused(&h), want[s]);
 	}
 }
 
@@ -82,14 +82,14 @@
 	struct hand h;
 
 	memset(&h, 0, sizeof(h));
-	hand_asked(&h);
-	CU_ASSERT_EQUAL(hand_ended(&h), HAND_WAIT);
-	CU_ASSERT_EQUAL(hand_granted(&h, 5, 5), HAND_CONTINUE);
+	hand_on_requested(&h);
+	CU_ASSERT_EQUAL(hand_on_stream_closed(&h), HAND_WAIT);
+	CU_ASSERT_EQUAL(hand_on_granted(&h, 5, 5), HAND_CONTINUE);
 
 	memset(&h, 0, sizeof(h));
-	hand_asked(&h);
-	hand_granted(&h, 9, 5);
-	CU_ASSERT_EQUAL(hand_ended(&h), HAND_CONTINUE);
+	hand_on_requested(&h);
+	hand_on_granted(&h, 9, 5);
+	CU_ASSERT_EQUAL(hand_on_stream_closed(&h), HAND_CONTINUE);
 }
 
 static void without_a_call_streams_end_as_ever(void)
@@ -97,10 +97,10 @@
 	struct hand h;
 
 	memset(&h, 0, sizeof(h));
-	CU_ASSERT_EQUAL(hand_event(&h, 3), HAND_STAY);
-	CU_ASSERT_EQUAL(hand_broke(&h), HAND_LOST);
+	CU_ASSERT_EQUAL(hand_on_event(&h, 3), HAND_NO_CHANGE);
+	CU_ASSERT_EQUAL(hand_on_stream_broken(&h), HAND_LOST);
 	memset(&h, 0, sizeof(h));
-	CU_ASSERT_EQUAL(hand_ended(&h), HAND_DONE);
+	CU_ASSERT_EQUAL(hand_on_stream_closed(&h), HAND_DONE);
 }
 
 static const struct unit_test tests[] = {
