--- a/lib/duty/scale.c
+++ b/lib/duty/scale.c
@@ -33,8 +33,8 @@
 #define ZONE_LOSS_RATIO 1.5
 
 /*
- * A zone whose order was refused counts as unavailable for this time, ms, beyond
- * no_spot_until_ms.
+ * A zone whose order was refused counts as unavailable for this time, ms,
+ * beyond no_spot_until_ms.
  */
 #define UNAVAILABLE_HOLD_MS 1500
 
--- a/lib/duty/scale.h
+++ b/lib/duty/scale.h
@@ -41,7 +41,7 @@
 	int min_on_demand; /* lower bound; see scale_limit_drain() */
 	double spot_price; /* relative to the on-demand price; 0: no spot */
 	int64_t now_ms;
-	bool price_cover; /* order more spot than needed, the more the cheaper */
+	bool price_cover; /* order spare spot; the cheaper, the more */
 	bool loss_cover;  /* keep spare endpoints for the next zone reclaim */
 	bool ease;	  /* drain on-demand endpoints one after the other */
 };
--- a/lib/model/svc.c
+++ b/lib/model/svc.c
@@ -146,10 +146,10 @@
 					  ? l->prefill_ms
 					  : svc_prefill_ms(s, TOKENS_UNIT);
 	const double spare = TOKENS_UNIT * 1000 / prefill_ms;
-	const double now =
+	const double current =
 		l->endpoints > 0 ? l->prefill_tokens_per_s / l->endpoints : 0;
-	const double prefilling =
-		l->prefill_tokens_per_s / (spare + now) / PREFILL_UTILIZATION;
+	const double prefilling = l->prefill_tokens_per_s / (spare + current) /
+				  PREFILL_UTILIZATION;
 	const double running = l->running / max_running;
 
 	return prefilling > running ? prefilling : running;
@@ -173,7 +173,7 @@
 {
 	double x[SVC_TTFT_COEFS];
 
-	/* The wait for a slot is not smoothing of the linear model. */
+	/* The linear model excludes the wait for a slot. */
 	if (waiting_for_slot(at) > 0)
 		return;
 	features(at, x);
--- a/lib/model/svc.h
+++ b/lib/model/svc.h
@@ -10,12 +10,12 @@
  * here: the time between two events) as linear in the running requests. A plain
  * service has a mean answer time, which grows once its slots are taken.
  *
- * This way no figure of an engine is hard-coded. With the figures of one kind of
- * engine, the TTFT of another kind was predicted 75 ms off, at a median of 45 to
- * 80 ms.
+ * This way no figure of an engine is hard-coded. With the figures of one kind
+ * of engine, the TTFT of another kind was predicted 75 ms off, at a median of
+ * 45 to 80 ms.
  *
- * Pure: no I/O, the clock is passed in. Not thread-safe. There is one struct svc
- * for each service that requests are sent to.
+ * Pure: no I/O, the clock is passed in. Not thread-safe. There is one struct
+ * svc for each service that requests are sent to.
  */
 #ifndef SVC_H
 #define SVC_H
@@ -88,16 +88,16 @@
 double svc_max_running(const struct svc *s, double slots, double pause_ms);
 
 /*
- * Weighted mean over several entries of SVC_PREFILL_MS, the slope of the TTFT by
- * tokens. Starts zeroed.
+ * Weighted mean over several entries of SVC_PREFILL_MS, the slope of the TTFT
+ * by tokens. Starts zeroed.
  */
 struct svc_slope {
 	double sum, weight;
 };
 
 /*
- * Adds an entry's slope, based on `samples` answers. Ignores slopes that are not
- * positive and finite.
+ * Adds an entry's slope, based on `samples` answers. Ignores slopes that are
+ * not positive and finite.
  */
 void svc_slope_add(struct svc_slope *s, double prefill_ms, double samples);
 
@@ -114,8 +114,8 @@
 };
 
 /*
- * Returns the number of endpoints that the load keeps busy, if each runs at most
- * `max_running` requests (see svc_max_running()) at once.
+ * Returns the number of endpoints that the load keeps busy, if each runs at
+ * most `max_running` requests (see svc_max_running()) at once.
  *
  * The slope of the TTFT by tokens is the time that one more token takes beside
  * the current prefill load. So an endpoint's total prefill rate is its current
@@ -134,8 +134,8 @@
 double svc_prefill_tokens_per_s(const struct svc *s, int64_t now_ms);
 
 /*
- * The first event arrived `took_ms` after the request was sent to an endpoint in
- * state `at`. `sure`: the number of tokens to prefill was known.
+ * The first event arrived `took_ms` after the request was sent to an endpoint
+ * in state `at`. `sure`: the number of tokens to prefill was known.
  */
 void svc_on_ttft(struct svc *s, const struct svc_state *at, double took_ms,
 		 bool sure);
@@ -172,8 +172,8 @@
 void svc_export(const struct svc *s, struct svc_snapshot *out);
 
 /*
- * Adopts each part of a received snapshot that is based on more samples than our
- * own; see rls_adopt(). Rejects figures that are not finite.
+ * Adopts each part of a received snapshot that is based on more samples than
+ * our own; see rls_adopt(). Rejects figures that are not finite.
  */
 void svc_adopt(struct svc *s, const struct svc_snapshot *snapshot);
 
--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -197,7 +197,7 @@
 		begin_call(c, m, s, now, rnd);
 	if (c->kind != MIR_NONE && now >= c->due_ms)
 		end_call(c, m, era, now);
-	/* Answers to other calls name the era, too, if none is in flight here. */
+	/* Answers to other calls name the era, too. */
 	if (c->kind == MIR_NONE && m->whole && !rnd_below(rnd, 20))
 		handle_new_era(m, s, era, now);
 }
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -213,7 +213,7 @@
 
 struct outcome {
 	double mean_ms;	 /* to the first event */
-	double error_ms; /* mean error of the prediction after the first fifty */
+	double error_ms; /* mean prediction error after the first fifty */
 };
 
 static double running_at(const struct sim_endpoint *p, double now)
@@ -373,8 +373,8 @@
 }
 
 /*
- * Engines up to five times slower or faster than any observed one, with
- * prompt prefixes that some endpoints have cached. The model must come close to exact
+ * Engines up to five times slower or faster than any observed one, with prompt
+ * prefixes that some endpoints have cached. The model must come close to exact
  * figures; a learner that never changes, and one that follows the last sample,
  * must fail the same check.
  */
@@ -420,8 +420,9 @@
 
 /*
  * The slope under load must not be taken for the time that prefill alone takes.
- * Slow engines prefill for most of the time, so one more token takes three times
- * as long. The need rose with it, and twice the needed endpoints were ordered.
+ * Slow engines prefill for most of the time, so one more token takes three
+ * times as long. The need rose with it, and twice the needed endpoints were
+ * ordered.
  */
 static void load_does_not_inflate_busy_endpoints(void)
 {
