--- a/lib/stream/evs.c
+++ b/lib/stream/evs.c
@@ -17,7 +17,7 @@
 	buf_free(&s->partial);
 }
 
-/* The id of an event that is held whole in `text`, or -1. */
+/* Returns the id of the event `text`, or -1 if it has none. */
 static int64_t event_id(const char *text)
 {
 	const char *at = text;
@@ -35,7 +35,10 @@
 	return -1;
 }
 
-/* The end of the first whole event in the part, or 0. */
+/*
+ * Returns the length of the first whole event in `b`, or 0 if there is none. An
+ * end before `from` is not found.
+ */
 static size_t find_end(const struct buf *b, size_t from)
 {
 	size_t i;
@@ -52,7 +55,10 @@
 	return 0;
 }
 
-/* Returns 1 if the event was passed on. */
+/*
+ * Processes the event in the first `len` bytes of the partial buffer. Returns 1
+ * if it was appended to `out`, 0 if it was skipped.
+ */
 static size_t take_event(struct evs *s, size_t len, int64_t skip_to,
 			 struct buf *out)
 {
--- a/lib/stream/evs.h
+++ b/lib/stream/evs.h
@@ -1,9 +1,11 @@
 /*
- * evs: cuts a stream of server-sent events into whole events.
+ * evs: event stream: splits a stream of server-sent events into whole events.
  *
- * An event ends with an empty line. Only whole events are passed on, so that
- * a stream which breaks off in the middle of one can go on elsewhere after
- * the last event that the caller has, without a piece missing or doubled.
+ * An event ends with an empty line. Only whole events are passed on, so that a
+ * stream that breaks off within an event can be resumed at another endpoint
+ * after the last event that the client has, with nothing missing or repeated.
+ *
+ * Not thread-safe; performs no I/O.
  */
 #ifndef EVS_H
 #define EVS_H
@@ -14,32 +16,38 @@
 
 #include "base/buf.h"
 
-/* An event is below 300 bytes; one that does not end by then is a fault. */
+/* Events have less than 300 bytes; a larger one than this is an error. */
 #define EVS_MAX_EVENT_BYTES 65536
 
 struct evs {
-	struct buf partial; /* the event in progress */
+	struct buf partial; /* bytes of the incomplete event */
 	int64_t last_id;    /* of the last whole event; -1: none */
-	uint64_t events;    /* whole events so far */
-	bool ordered;	    /* ids went up by one each time */
-	bool too_large;
+	uint64_t events;    /* whole events passed on */
+	bool ordered;	    /* each id was the previous one plus 1 */
+	bool too_large;	    /* the partial event exceeds the maximum */
 };
 
 void evs_init(struct evs *s);
+
+/* Frees the partial event. */
 void evs_free(struct evs *s);
 
 /*
- * Takes bytes; appends the whole events among them to `out` and returns
- * their number. `skip_to`: events with an id up to this one are left out
- * (-1: none), for an endpoint that begins before the point asked for.
+ * Takes `len` bytes of the stream, appends the events completed by them to
+ * `out` and returns the number appended. Events with an id up to `skip_to` are
+ * dropped, for an endpoint that starts before the requested event; -1: none.
+ * Sets `too_large` if the partial event exceeds EVS_MAX_EVENT_BYTES.
  */
 size_t evs_feed(struct evs *s, const char *data, size_t len, int64_t skip_to,
 		struct buf *out);
 
-/* True if bytes of an event that has not ended are held. */
+/* Returns true if there are bytes of an incomplete event. */
 bool evs_has_partial(const struct evs *s);
 
-/* A new source follows: the torn event is dropped, ids go on. */
+/*
+ * Drops the partial event before the stream is resumed at another endpoint; the
+ * id and the number of events are kept.
+ */
 void evs_drop_partial(struct evs *s);
 
 #endif
--- a/lib/stream/hand.c
+++ b/lib/stream/hand.c
@@ -8,11 +8,12 @@
 	h->state = HAND_REQUESTED;
 }
 
-enum hand_step hand_on_granted(struct hand *h, int64_t created, int64_t last_id)
+enum hand_step hand_on_granted(struct hand *h, int64_t events_at_stop,
+			       int64_t last_id)
 {
 	assert(h->state == HAND_REQUESTED);
 	h->state = HAND_GRANTED;
-	h->events_at_stop = created;
+	h->events_at_stop = events_at_stop;
 	if (h->stream_broken || h->stream_closed)
 		return HAND_CONTINUE;
 	return hand_on_event(h, last_id);
@@ -27,8 +28,9 @@
 	return h->stream_broken ? HAND_LOST : HAND_NO_CHANGE;
 }
 
-/* The stream is over; `alone`: what that means without a call for it. */
-static enum hand_step closed(const struct hand *h, enum hand_step alone)
+/* The stream is over; `without_call`: the step if no call is pending. */
+static enum hand_step on_stream_end(const struct hand *h,
+				    enum hand_step without_call)
 {
 	switch (h->state) {
 	case HAND_REQUESTED:
@@ -39,19 +41,19 @@
 	case HAND_REFUSED:
 		break;
 	}
-	return alone;
+	return without_call;
 }
 
 enum hand_step hand_on_stream_broken(struct hand *h)
 {
 	h->stream_broken = true;
-	return closed(h, HAND_LOST);
+	return on_stream_end(h, HAND_LOST);
 }
 
 enum hand_step hand_on_stream_closed(struct hand *h)
 {
 	h->stream_closed = true;
-	return closed(h, HAND_DONE);
+	return on_stream_end(h, HAND_DONE);
 }
 
 enum hand_step hand_on_event(const struct hand *h, int64_t last_id)
--- a/lib/stream/hand.h
+++ b/lib/stream/hand.h
@@ -1,17 +1,20 @@
 /*
- * hand: handing a running stream from an endpoint that leaves to another
- * one, with the memory of its prompt.
+ * hand: hand-over of a running stream from a draining endpoint to another one,
+ * with a copy of its KV cache.
  *
- * The endpoint that runs it is asked to stop the run and to copy its memory
- * to the other one; the request is then sent there, with a handle to the
- * copy, and goes on after the last event that the caller has. It is the same
- * run, so a stream that may not be run twice survives as well.
+ * The source endpoint is asked to stop the run and to copy the KV cache to the
+ * target. The request is then sent to the target with a handle to the copy, and
+ * continues after the last event that the client has. It is the same run, so a
+ * request that must not run twice survives as well.
  *
- * Two things end in either order: the stream of the first endpoint, which
- * closes without its end, and the answer to the call. What goes wrong
- * without both: the request goes on while events of the first endpoint are
- * still on the way, and the caller gets them twice; or a stream that was
- * stopped on our own word is told to be lost.
+ * Two things happen in either order: the source closes its stream without the
+ * final event, and the hand-over call is answered. The state machine waits for
+ * both. Otherwise the request could continue while events of the source are in
+ * flight, and the client would get them twice; or a stream that was stopped at
+ * our request would be reported as lost.
+ *
+ * Pure state machine: no I/O. A zeroed struct is the initial state; there is
+ * one for each endpoint that a stream runs at.
  */
 #ifndef HAND_H
 #define HAND_H
@@ -20,47 +23,52 @@
 #include <stdint.h>
 
 enum hand_state {
-	HAND_NONE,
-	HAND_REQUESTED,
-	HAND_GRANTED, /* the run is stopped, its memory is copied */
-	HAND_REFUSED, /* or no answer came */
+	HAND_NONE,	/* no hand-over */
+	HAND_REQUESTED, /* the call is in flight */
+	HAND_GRANTED,	/* the run is stopped, its KV cache is copied */
+	HAND_REFUSED,	/* or the call failed */
 };
 
+/* What the caller has to do after an event. */
 enum hand_step {
-	HAND_NO_CHANGE, /* the stream goes on where it is */
-	HAND_WAIT,	/* for the other of the two */
+	HAND_NO_CHANGE, /* the stream continues at the source */
+	HAND_WAIT,	/* for the answer, or for the source's last events */
 	HAND_CONTINUE,	/* send the request to the target */
 	HAND_LOST,	/* the stream broke, and nothing was copied */
-	HAND_DONE,	/* the stream had come to its end before */
+	HAND_DONE,	/* the stream was complete already */
 };
 
 struct hand {
 	enum hand_state state;
-	bool stream_broken;	/* the first endpoint's stream closed */
-	bool stream_closed;	/* in a way that may be its end */
+	bool stream_broken;	/* the source's stream broke off */
+	bool stream_closed;	/* it closed as it does at its end */
 	int64_t events_at_stop; /* events that the run had made when it stopped */
 };
 
-/* The call is sent. A stream is handed on once from each endpoint. */
+/* The hand-over call was sent; allowed once, in state HAND_NONE. */
 void hand_on_requested(struct hand *h);
 
-/* The call was granted: `created` events were made until then. */
-enum hand_step hand_on_granted(struct hand *h, int64_t created,
+/*
+ * The call was granted. `events_at_stop`: events that the run had made when it
+ * stopped; `last_id`: the last whole event received from the source.
+ */
+enum hand_step hand_on_granted(struct hand *h, int64_t events_at_stop,
 			       int64_t last_id);
 
 /* The call was refused, or its answer was lost. */
 enum hand_step hand_on_refused(struct hand *h);
 
-/* The stream closed without its end. */
+/* The source's stream broke off. */
 enum hand_step hand_on_stream_broken(struct hand *h);
 
 /*
- * The stream closed as it does at its end. Where its length is not stated
- * that may also be the stop that we asked for: the answer tells.
+ * The source's stream closed as it does at its end. If its length is not
+ * stated, it may also have closed because the run was stopped; the call's
+ * answer decides between the two.
  */
 enum hand_step hand_on_stream_closed(struct hand *h);
 
-/* Events came; `last_id`: of the last whole one. */
+/* Events were received; `last_id`: of the last whole one. */
 enum hand_step hand_on_event(const struct hand *h, int64_t last_id);
 
 #endif
--- a/tests/test_evs.c
+++ b/tests/test_evs.c
@@ -1,4 +1,4 @@
-/* Streams of events: however the bytes are cut, whole events come out. */
+/* Tests of the splitting of event streams into whole events. */
 #include <stdio.h>
 #include <string.h>
 
@@ -16,7 +16,7 @@
 			i * 7, nl, nl);
 }
 
-static void any_cut_gives_whole_events(void)
+static void any_split_gives_whole_events(void)
 {
 	struct rnd rnd;
 	int round;
@@ -36,7 +36,7 @@
 				n = all.len - at;
 			evs_feed(&s, all.data + at, n, -1, &out);
 			at += n;
-			/* What came out ends with an event, always. */
+			/* The output always ends with a whole event. */
 			if (out.len)
 				CU_ASSERT_EQUAL(out.data[out.len - 1], '\n');
 		}
@@ -50,11 +50,11 @@
 }
 
 /*
- * Symptom: a summary had half a sentence twice. Sequence: an endpoint died in
- * the middle of an event, the stream went on at another one. Cause: the torn
- * part had been passed on.
+ * An incomplete event must not be passed on. An endpoint crashed within an
+ * event, and the stream was resumed at another one: the client got half a
+ * sentence twice.
  */
-static void torn_event_is_not_passed_on(void)
+static void partial_event_is_not_passed_on(void)
 {
 	BUF_AUTO out = BUF_INIT;
 	BUF_AUTO first = BUF_INIT;
@@ -76,8 +76,8 @@
 	evs_free(&s);
 }
 
-/* An endpoint that begins before the point asked for: no event twice. */
-static void events_that_the_caller_has_are_left_out(void)
+/* An endpoint that starts before the requested event repeats some. */
+static void repeated_events_are_skipped(void)
 {
 	BUF_AUTO out = BUF_INIT;
 	BUF_AUTO again = BUF_INIT;
@@ -92,7 +92,7 @@
 	evs_free(&s);
 }
 
-static void endless_event_is_noticed(void)
+static void oversized_event_is_detected(void)
 {
 	BUF_AUTO out = BUF_INIT;
 	char line[1024];
@@ -109,11 +109,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "any cut gives whole events", any_cut_gives_whole_events },
-	{ "a torn event is not passed on", torn_event_is_not_passed_on },
-	{ "events that the caller has are left out",
-	  events_that_the_caller_has_are_left_out },
-	{ "an endless event is noticed", endless_event_is_noticed },
+	{ "any split gives whole events", any_split_gives_whole_events },
+	{ "a partial event is not passed on", partial_event_is_not_passed_on },
+	{ "repeated events are skipped", repeated_events_are_skipped },
+	{ "an oversized event is detected", oversized_event_is_detected },
 };
 
 UNIT_MAIN("evs", tests)
--- a/tests/test_hand.c
+++ b/tests/test_hand.c
@@ -1,32 +1,32 @@
-/* Handing a stream on: every order of the two ends. */
+/* Tests of the hand-over: each order of stream end and call answer. */
 #include <string.h>
 
 #include "stream/hand.h"
 #include "support/unit.h"
 
-/* What happens to the stream of the first endpoint. */
+/* What happens to the stream of the source endpoint. */
 enum stream {
-	GOES_ON,
-	BREAKS,
-	ENDS,
-	STREAMS
+	STREAM_CONTINUES,
+	STREAM_BREAKS,
+	STREAM_CLOSES,
+	STREAM_CASES
 };
 
 static enum hand_step end_stream(struct hand *h, enum stream s)
 {
-	if (s == BREAKS)
+	if (s == STREAM_BREAKS)
 		return hand_on_stream_broken(h);
-	if (s == ENDS)
+	if (s == STREAM_CLOSES)
 		return hand_on_stream_closed(h);
 	return HAND_NO_CHANGE;
 }
 
 /*
- * Symptom: the caller got events twice, or a stream that we had stopped was
- * told to be lost. Sequence: the stream closed before the call's answer, or
- * after it. Cause: one of the two ends was taken for both.
+ * The hand-over waits for both the stream's end and the call's answer, in
+ * either order. When one of them was taken for both, the client got events
+ * twice, or a stream that we had stopped was reported as lost.
  */
-static void both_ends_are_waited_for(void)
+static void waits_for_stream_end_and_answer(void)
 {
 	struct hand h;
 
@@ -51,15 +51,16 @@
 	CU_ASSERT_EQUAL(hand_on_granted(&h, 12, 12), HAND_CONTINUE);
 }
 
-/* A refusal leaves the stream as it would have been without the call. */
+/* After a refusal the stream proceeds as without the call. */
 static void refused_call_changes_nothing(void)
 {
-	static const enum hand_step want[STREAMS] = { HAND_NO_CHANGE, HAND_LOST,
-						      HAND_DONE };
+	static const enum hand_step want[STREAM_CASES] = { HAND_NO_CHANGE,
+							   HAND_LOST,
+							   HAND_DONE };
 	struct hand h;
 	int s;
 
-	for (s = 0; s < STREAMS; s++) {
+	for (s = 0; s < STREAM_CASES; s++) {
 		memset(&h, 0, sizeof(h));
 		hand_on_requested(&h);
 		CU_ASSERT_EQUAL(hand_on_refused(&h), HAND_NO_CHANGE);
@@ -73,11 +74,11 @@
 }
 
 /*
- * Symptom: a stream was told whole that had been stopped half-way. Sequence:
- * an endpoint that states no length was asked to stop, and closed. Cause: the
- * close of a stopped run looks like the end of a whole one.
+ * A stopped run must not be taken for a complete one. Without a stated length,
+ * the close of a stopped run looks like the end of a complete one, and a stream
+ * that was stopped half-way was reported as complete.
  */
-static void stopped_run_is_not_taken_for_whole(void)
+static void stopped_run_is_not_complete(void)
 {
 	struct hand h;
 
@@ -92,7 +93,7 @@
 	CU_ASSERT_EQUAL(hand_on_stream_closed(&h), HAND_CONTINUE);
 }
 
-static void without_a_call_streams_end_as_ever(void)
+static void without_a_call_streams_end_normally(void)
 {
 	struct hand h;
 
@@ -104,12 +105,11 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "both ends are waited for", both_ends_are_waited_for },
+	{ "waits for stream end and answer", waits_for_stream_end_and_answer },
 	{ "a refused call changes nothing", refused_call_changes_nothing },
-	{ "a stopped run is not taken for whole",
-	  stopped_run_is_not_taken_for_whole },
-	{ "without a call streams end as ever",
-	  without_a_call_streams_end_as_ever },
+	{ "a stopped run is not complete", stopped_run_is_not_complete },
+	{ "without a call streams end normally",
+	  without_a_call_streams_end_normally },
 };
 
 UNIT_MAIN("hand", tests)
