--- a/lib/duty/lead.h
+++ b/lib/duty/lead.h
@@ -58,7 +58,7 @@
 enum lead_owner {
 	LEAD_OWNER_OTHER,	  /* another entry */
 	LEAD_OWNER_SELF,	  /* this entry, this boot */
-	LEAD_OWNER_PREVIOUS_BOOT, /* this entry, before its last restart */
+	LEAD_OWNER_PREVIOUS_BOOT, /* an earlier boot of this entry, now ended */
 };
 
 struct lead {
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -15,8 +15,8 @@
 /* ---- Leader election ---- */
 
 #define NODES 4
-#define LEASE 3000
-#define AWAY 3000
+#define LEASE_MS 3000
+#define HOLDOFF_MS 3000
 
 struct node {
 	struct lead lead;
@@ -42,7 +42,7 @@
 	int holder_boot;
 	int64_t fence, lease_end, revision;
 	struct cloud cloud;
-	int64_t margin; /* subtracted from each lease; negative: violations */
+	int64_t margin; /* subtracted from each lease; negative: broken */
 };
 
 static void act(struct world *w, int n, int64_t now)
@@ -55,7 +55,7 @@
 			 c->last_ms;
 	/* Calls of holders A, B, A within one lease time. */
 	c->violations += n != c->last_holder && n == c->previous_holder &&
-			 now - c->previous_ms < LEASE && c->previous_ms;
+			 now - c->previous_ms < LEASE_MS && c->previous_ms;
 	if (n != c->last_holder) {
 		c->previous_holder = c->last_holder;
 		c->previous_ms = c->last_ms;
@@ -102,10 +102,10 @@
 		  bool late)
 {
 	if (w->holder == n && now < w->lease_end) {
-		w->lease_end = now + LEASE;
+		w->lease_end = now + LEASE_MS;
 		/* The lease counts from before the call was sent. */
 		if (!late)
-			x->until = now + LEASE;
+			x->until = now + LEASE_MS;
 		else
 			x->renewal = now;
 	}
@@ -118,30 +118,31 @@
 	if (now < x->frozen_until)
 		return;
 	if (x->renewal) {
-		x->until = x->renewal + LEASE;
+		x->until = x->renewal + LEASE_MS;
 		x->renewal = 0;
 	}
 	if (x->down) {
 		x->down = false;
 		x->boot++;
-		lead_init(&x->lead, AWAY, now);
+		lead_init(&x->lead, HOLDOFF_MS, now);
 		catch_up(w, x, n, now);
 	}
-	if (lead_begin_acquire(&x->lead, n, now + LEASE, now)) {
-		const int64_t stands = w->holder < 0 ? 0 : w->fence;
-		const bool free_now = lead_expected_revision(&x->lead) ==
-				      stands;
+	if (lead_begin_acquire(&x->lead, n, now + LEASE_MS, now)) {
+		const int64_t key_revision = w->holder < 0 ? 0 : w->fence;
+		const bool key_unchanged = lead_expected_revision(&x->lead) ==
+					   key_revision;
 
-		if (free_now) {
+		if (key_unchanged) {
 			w->holder = n;
 			w->holder_boot = x->boot;
 			w->fence = ++w->revision;
-			w->lease_end = now + LEASE;
-			x->until = now + LEASE;
+			w->lease_end = now + LEASE_MS;
+			x->until = now + LEASE_MS;
 		}
 		/* The answer may be lost; then the watch delivers the key. */
 		if (rnd_below(rnd, 4)) {
-			lead_end_acquire(&x->lead, free_now, w->fence, now);
+			lead_end_acquire(&x->lead, key_unchanged, w->fence,
+					 now);
 		} else {
 			lead_end_acquire(&x->lead, false, 0, now);
 			catch_up(w, x, n, now);
@@ -165,10 +166,10 @@
 	rnd_seed(&rnd, seed);
 	w.holder = -1;
 	w.cloud.last_holder = w.cloud.previous_holder = -1;
-	/* The violations variant trusts its lease two seconds too long. */
+	/* The broken variant trusts its lease two seconds too long. */
 	w.margin = broken_variant ? -2000 : 0;
 	for (n = 0; n < NODES; n++)
-		lead_init(&w.nodes[n].lead, AWAY, 1);
+		lead_init(&w.nodes[n].lead, HOLDOFF_MS, 1);
 	for (now = 10; now < 40000; now += 10) {
 		store_tick(&w, now);
 		for (n = 0; n < NODES; n++) {
@@ -222,22 +223,23 @@
 {
 	struct lead l;
 
-	lead_init(&l, AWAY, 0);
+	lead_init(&l, HOLDOFF_MS, 0);
 	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 10000, 100));
-	CU_ASSERT(lead_begin_acquire(&l, 0, 10000, AWAY));
-	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 10000, AWAY));
-	lead_end_acquire(&l, true, 50, AWAY);
-	lead_on_key_deleted(&l, 49, AWAY + 1);
-	lead_on_key(&l, LEAD_OWNER_OTHER, 40, AWAY + 2);
+	CU_ASSERT(lead_begin_acquire(&l, 0, 10000, HOLDOFF_MS));
+	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 10000, HOLDOFF_MS));
+	lead_end_acquire(&l, true, 50, HOLDOFF_MS);
+	lead_on_key_deleted(&l, 49, HOLDOFF_MS + 1);
+	lead_on_key(&l, LEAD_OWNER_OTHER, 40, HOLDOFF_MS + 2);
 	CU_ASSERT(l.is_holder);
-	CU_ASSERT_FALSE(lead_may_act(&l, 20000, AWAY + 10));
-	CU_ASSERT(lead_may_act(&l, 20000, AWAY + LEAD_SETTLE_MS));
-	CU_ASSERT_FALSE(lead_may_act(&l, AWAY + LEAD_SETTLE_MS + 100,
-				     AWAY + LEAD_SETTLE_MS));
+	CU_ASSERT_FALSE(lead_may_act(&l, 20000, HOLDOFF_MS + 10));
+	CU_ASSERT(lead_may_act(&l, 20000, HOLDOFF_MS + LEAD_SETTLE_MS));
+	CU_ASSERT_FALSE(lead_may_act(&l, HOLDOFF_MS + LEAD_SETTLE_MS + 100,
+				     HOLDOFF_MS + LEAD_SETTLE_MS));
 	lead_on_key_deleted(&l, 51, 9000);
 	CU_ASSERT_FALSE(l.is_holder);
-	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 20000, 9000 + AWAY - 1));
-	CU_ASSERT(lead_begin_acquire(&l, 0, 20000, 9000 + AWAY));
+	CU_ASSERT_FALSE(
+		lead_begin_acquire(&l, 0, 20000, 9000 + HOLDOFF_MS - 1));
+	CU_ASSERT(lead_begin_acquire(&l, 0, 20000, 9000 + HOLDOFF_MS));
 }
 
 /* A restarted entry need not wait until its previous boot's lease expires. */
@@ -245,7 +247,7 @@
 {
 	struct lead l;
 
-	lead_init(&l, AWAY, 0);
+	lead_init(&l, HOLDOFF_MS, 0);
 	lead_on_key(&l, LEAD_OWNER_PREVIOUS_BOOT, 40, 100);
 	CU_ASSERT(lead_begin_acquire(&l, -1, 20000, 100));
 	CU_ASSERT_EQUAL(lead_expected_revision(&l), 40);
@@ -256,7 +258,7 @@
 	CU_ASSERT(lead_may_act(&l, 20000, 110 + LEAD_SETTLE_MS));
 
 	/* Another entry holds the key, or held it since: normal delays. */
-	lead_init(&l, AWAY, 0);
+	lead_init(&l, HOLDOFF_MS, 0);
 	lead_on_key(&l, LEAD_OWNER_OTHER, 40, 100);
 	CU_ASSERT_FALSE(lead_begin_acquire(&l, 0, 20000, 200));
 	lead_on_key_deleted(&l, 45, 300);
@@ -268,41 +270,42 @@
 static void few_entries_write_a_vacant_key(void)
 {
 	enum {
-		MANY = 84,
+		ENTRIES = 84,
 		RANKED = 3,
 		SEEN_AFTER_MS = 400
 	};
-	static struct lead all[MANY];
-	int64_t now, taken_ms = 0;
+	static struct lead all[ENTRIES];
+	int64_t now, first_try_ms = 0;
 	unsigned tries = 0, first;
 	int i;
 
 	for (first = 0; first < RANKED; first++) {
 		tries = 0;
-		taken_ms = 0;
-		for (i = 0; i < MANY; i++) {
-			lead_init(&all[i], AWAY, -AWAY);
+		first_try_ms = 0;
+		for (i = 0; i < ENTRIES; i++) {
+			lead_init(&all[i], HOLDOFF_MS, -HOLDOFF_MS);
 			lead_on_key(&all[i], LEAD_OWNER_OTHER, 5, 0);
 			lead_on_key_deleted(&all[i], 6, 1000);
 		}
-		/* Entries that rank before `first` are dead. */
+		/* Entries that rank before `first` have crashed. */
 		for (now = 1000; now < 6000; now += 50) {
-			for (i = (int)first; i < MANY; i++) {
-				const int place = i < RANKED ? i : -1;
+			for (i = (int)first; i < ENTRIES; i++) {
+				const int rank = i < RANKED ? i : -1;
 
-				if (taken_ms && now >= taken_ms + SEEN_AFTER_MS)
+				if (first_try_ms &&
+				    now >= first_try_ms + SEEN_AFTER_MS)
 					lead_on_key(&all[i], LEAD_OWNER_OTHER,
 						    7, now);
-				if (!lead_begin_acquire(&all[i], place,
-							now + LEASE, now))
+				if (!lead_begin_acquire(&all[i], rank,
+							now + LEASE_MS, now))
 					continue;
 				tries++;
 				lead_end_acquire(&all[i], false, 0, now);
-				if (!taken_ms)
-					taken_ms = now;
+				if (!first_try_ms)
+					first_try_ms = now;
 			}
 		}
-		CU_ASSERT(taken_ms >= 1000 && taken_ms < 2000);
+		CU_ASSERT(first_try_ms >= 1000 && first_try_ms < 2000);
 		CU_ASSERT(tries >= 1 && tries <= 2);
 	}
 }
@@ -368,7 +371,7 @@
 	return 4;
 }
 
-static void sums(const struct scale_zone *z, int *on_demand, int *spot)
+static void sum_plan(const struct scale_zone *z, int *on_demand, int *spot)
 {
 	int i;
 
@@ -399,7 +402,7 @@
 	for (i = 0; i < 4; i++)
 		z[i].spot_starting = 4;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(spot, 16);
 	CU_ASSERT_EQUAL(on_demand, 0);
 	for (i = 0; i < 4; i++)
@@ -428,14 +431,14 @@
 	for (i = 0; i < 4; i++)
 		z[i].spot_starting = 4;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(on_demand, 6);
 	for (i = 0; i < 4; i++) {
 		z[i].spot = 4;
 		z[i].spot_starting = 0;
 	}
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(on_demand, 0);
 }
 
@@ -464,7 +467,7 @@
 		held = scale_limit_drain(held, 0, 50);
 		in.min_on_demand = (int)held;
 		scale_plan(&in, z, 4);
-		sums(z, &on_demand, &spot);
+		sum_plan(z, &on_demand, &spot);
 		CU_ASSERT(last - on_demand <= 2);
 		steps += on_demand < last;
 		last = on_demand;
@@ -495,12 +498,12 @@
 	for (i = 0; i < 4; i++)
 		z[i].no_spot_until_ms = 2000;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(on_demand, 6);
 	/* Remaining spot endpoints are kept, and count. */
 	z[0].spot = 4;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(z[0].want_spot, 4);
 	/* Their zone may be reclaimed next: the others must carry all load. */
 	CU_ASSERT_EQUAL(spot, 4);
@@ -640,17 +643,17 @@
 		z[i].price = 1;
 	z[0].spot = z[1].spot = z[2].spot = 20;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(on_demand, 0);
 	/* No spot capacity: two zones remain, then one. */
 	z[0].no_spot_until_ms = 11000;
 	z[2].spot = 0;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(on_demand, 3);
 	z[1].spot = 0;
 	scale_plan(&in, z, 4);
-	sums(z, &on_demand, &spot);
+	sum_plan(z, &on_demand, &spot);
 	CU_ASSERT_EQUAL(on_demand, 23);
 }
 
@@ -710,7 +713,7 @@
 	struct pool on_demand[4], spot[4];
 	int64_t unavailable_until[4];
 	int64_t boot_ms, next_reclaim_ms;
-	bool running_counted; /* false: violations variant, plans as if idle */
+	bool running_counted; /* false: broken variant, plans as if idle */
 	int removed_early;
 };
 
--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -2,10 +2,10 @@
  * The store is restored from an older copy: seeded schedules of its keys as
  * seen by a mirror, and of the holder of the duties.
  *
- * A restore sets the store's revision back, so revisions are issued again. When
- * they were compared without the era, an endpoint that was written again was
- * not used, and a duty's call had a lower fencing token than the previous one,
- * or the token of another holder.
+ * A restore sets the store's revision back, so revisions are issued again; the
+ * era is incremented instead. When revisions were compared without the era, an
+ * endpoint that was written again was not used, and a duty's call had a lower
+ * fencing token than the previous one, or the token of another holder.
  */
 #include <stdio.h>
 #include <string.h>
@@ -277,8 +277,8 @@
 /* ---- Holder of the duties ---- */
 
 #define NODES 4
-#define LEASE 3000
-#define STEP 10
+#define LEASE_MS 3000
+#define STEP_MS 10
 
 enum variant {
 	CORRECT,
@@ -329,7 +329,7 @@
 	w.violations += fence < w.last_fence;
 	w.violations += fence == w.last_fence && w.last_ms && n != w.last;
 	w.violations += n != w.last && n == w.previous && w.previous_ms &&
-			w.now - w.previous_ms < LEASE;
+			w.now - w.previous_ms < LEASE_MS;
 	if (n != w.last) {
 		w.previous = w.last;
 		w.previous_ms = w.last_ms;
@@ -348,7 +348,7 @@
 	if (w.variant == IGNORES_ERA)
 		return;
 	if (w.variant != ACTS_WITHOUT_DELAY)
-		lead_on_store_restored(&x->lead, LEASE, w.now);
+		lead_on_store_restored(&x->lead, LEASE_MS, w.now);
 	x->until = 0;
 }
 
@@ -366,13 +366,13 @@
 
 static void write_arrives(struct node *x, int n)
 {
-	const int64_t stands = w.key.holder < 0 ? 0 : w.key.rev;
-	const bool done = stands == x->write_expected;
+	const int64_t key_revision = w.key.holder < 0 ? 0 : w.key.rev;
+	const bool done = key_revision == x->write_expected;
 
 	x->write_due = 0;
 	if (done) {
-		w.key = (struct duty_key){ n, ++w.revision, w.now + LEASE };
-		x->until = w.now + LEASE;
+		w.key = (struct duty_key){ n, ++w.revision, w.now + LEASE_MS };
+		x->until = w.now + LEASE_MS;
 	}
 	learn_era(x);
 	if (rnd_below(&w.rnd, 4))
@@ -386,7 +386,7 @@
 static void renew(struct node *x, int n)
 {
 	if (w.key.holder == n)
-		w.key.lease_end = w.now + LEASE;
+		w.key.lease_end = w.now + LEASE_MS;
 	else if (x->lead.is_holder)
 		return;
 	x->renewal_asked = w.now;
@@ -401,7 +401,7 @@
 
 	x->renewal_due = 0;
 	if (!late || w.variant == IGNORES_ERA)
-		x->until = x->renewal_asked + LEASE;
+		x->until = x->renewal_asked + LEASE_MS;
 	if (!late)
 		learn_era(x);
 }
@@ -424,10 +424,11 @@
 			rnd_below(&w.rnd, rnd_below(&w.rnd, 6) ? 700 : 2800);
 		read_key(x, n);
 	}
-	if (!unreachable && !x->renewal_due && (w.now + n * 200) % 900 < STEP)
+	if (!unreachable && !x->renewal_due &&
+	    (w.now + n * 200) % 900 < STEP_MS)
 		renew(x, n);
 	if (!x->write_due &&
-	    lead_begin_acquire(&x->lead, n, w.now + LEASE, w.now)) {
+	    lead_begin_acquire(&x->lead, n, w.now + LEASE_MS, w.now)) {
 		x->write_expected =
 			ver_revision(lead_expected_revision(&x->lead));
 		/* It may be applied seconds later, if its condition holds. */
@@ -444,7 +445,7 @@
 	w.key = w.copy;
 	/* Leases in the copy restart; newer ones are lost. */
 	if (w.key.holder >= 0)
-		w.key.lease_end = w.now + LEASE;
+		w.key.lease_end = w.now + LEASE_MS;
 	w.revision = w.copy_revision;
 	w.era++;
 	w.unreachable_until = w.now + rnd_below(&w.rnd, 1500);
@@ -477,10 +478,10 @@
 	w.key.holder = w.copy.holder = w.last = w.previous = -1;
 	rnd_seed(&w.rnd, unit_seed(seed));
 	for (n = 0; n < NODES; n++) {
-		lead_init(&w.nodes[n].lead, LEASE, 1);
+		lead_init(&w.nodes[n].lead, LEASE_MS, 1);
 		w.nodes[n].era = 1;
 	}
-	for (w.now = STEP; w.now < 60000; w.now += STEP) {
+	for (w.now = STEP_MS; w.now < 60000; w.now += STEP_MS) {
 		store_tick();
 		for (n = 0; n < NODES; n++)
 			node_tick(n);
