--- a/lib/stream/hand.h
+++ b/lib/stream/hand.h
@@ -42,7 +42,7 @@
 	enum hand_state state;
 	bool stream_broken;	/* the source's stream broke off */
 	bool stream_closed;	/* it closed as it does at its end */
-	int64_t events_at_stop; /* events that the run had made when it stopped */
+	int64_t events_at_stop; /* events that the run made at the source */
 };
 
 /* The hand-over call was sent; allowed once, in state HAND_NONE. */
