--- a/lib/model/rls.c
+++ b/lib/model/rls.c
@@ -15,7 +15,7 @@
  * Errors are clipped to this multiple of the typical error. Times have a long
  * tail on one side; with 1 the model is near their median.
  */
-#define CLIP 1.0
+#define SAMPLE_CLIP 1.0
 
 /* For the typical error itself, errors are clipped to this multiple of it. */
 #define ERROR_CLIP 3.0
@@ -84,7 +84,7 @@
 	m->typical_error += (fabs(clamp(error, ERROR_CLIP * m->typical_error)) -
 			     m->typical_error) *
 			    ERROR_SMOOTHING;
-	return clamp(error, CLIP * m->typical_error);
+	return clamp(error, SAMPLE_CLIP * m->typical_error);
 }
 
 /*
