--- a/lib/duty/usage.c
+++ b/lib/duty/usage.c
@@ -52,7 +52,7 @@
 	return row;
 }
 
-/* uthash's macro counts as fifty statements of ours. */
+/* clang-tidy counts the expansion of HASH_ADD as fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static struct usage_row *add(struct usage *u, const struct usage_key *k,
 			     const char *account)
@@ -81,7 +81,7 @@
 	row_of(u, source, window, account)->runs++;
 }
 
-void usage_learn(struct usage *u, uint64_t source, int64_t window,
+void usage_merge(struct usage *u, uint64_t source, int64_t window,
 		 const char *account, int64_t runs)
 {
 	struct usage_row *row = row_of(u, source, window, account);
@@ -123,7 +123,7 @@
 	return n;
 }
 
-void usage_forget(struct usage *u, int64_t from)
+void usage_drop_before(struct usage *u, int64_t from)
 {
 	struct usage_row *row, *next;
 
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -237,7 +237,7 @@
 		if (r->prefill_tokens > 0)
 			edge_learn_first_event(r);
 		edge_prefill_done(r);
-		count_usage(r, truth_now(&en->truth, edge_now(en)));
+		count_usage(r, walltime_now(&en->walltime, edge_now(en)));
 	}
 	update_max_pause(r);
 	if (!r->rq.started)
@@ -245,7 +245,7 @@
 	hmsg_put_chunk(&out, events.data, events.len);
 	hsc_write(r->conn, out.data, out.len);
 	/* All events of the stopped run were received: continue at the copy. */
-	if (hand_event(&r->hand, r->events.last_id) == HAND_CONTINUE)
+	if (hand_on_event(&r->hand, r->events.last_id) == HAND_CONTINUE)
 		edge_move_continue(r);
 }
 
@@ -391,7 +391,7 @@
 static void handle_broken(struct edge_req *r, const char *why,
 			  bool by_connection)
 {
-	if (migration_continues(r, hand_broke(&r->hand)))
+	if (migration_continues(r, hand_on_stream_broken(&r->hand)))
 		return;
 	edge_rollout_failed(r, by_connection);
 	edge_fatal_send_broken(r);
@@ -413,9 +413,9 @@
 		finish_answer(r);
 		return;
 	}
-	if (evs_torn(&r->events))
+	if (evs_has_partial(&r->events))
 		handle_broken(r, "stream ended within an event", true);
-	else if (!migration_continues(r, hand_ended(&r->hand)))
+	else if (!migration_continues(r, hand_on_stream_closed(&r->hand)))
 		finish_stream(r);
 }
 
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -28,10 +28,10 @@
 #include "base/rnd.h"
 #include "config/force.h"
 #include "config/vfy.h"
-#include "duty/carry.h"
+#include "duty/saved_plan.h"
 #include "duty/lead.h"
 #include "duty/scale.h"
-#include "duty/truth.h"
+#include "duty/walltime.h"
 #include "duty/usage.h"
 #include "edge/conf.h"
 #include "edge/wire.h"
@@ -215,10 +215,11 @@
 	char peer_address[80];			 /* IP:PORT, TCP and UDP */
 
 	struct lead lead;
-	struct carry plan; /* of the duty holder, as last read from the store */
+	struct saved_plan
+		plan; /* of the duty holder, as last read from the store */
 	char duty_holder[GSP_NAME_SIZE]; /* name of the entry; "": none */
 	struct usage usage;
-	struct truth truth;
+	struct walltime walltime;
 	struct edge_duty *duty;
 
 	ev_timer tick;
--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -24,15 +24,15 @@
 /* Logs the model if it changed considerably since the last line. */
 static void log_model_change(struct edge *en, struct svc *s)
 {
-	if (!svc_moved(s))
+	if (!svc_should_log(s))
 		return;
 	jlog_begin(en->log, JLOG_INFO, "belief");
 	jlog_str(en->log, "service", s->name);
-	jlog_num(en->log, "read_ms_per_1000_tokens", svc_read_ms(s, 1000));
-	jlog_num(en->log, "first_fixed_ms", s->first.coef[SVC_FIXED_MS]);
-	jlog_num(en->log, "first_samples", s->first.samples);
+	jlog_num(en->log, "read_ms_per_1000_tokens", svc_prefill_ms(s, 1000));
+	jlog_num(en->log, "first_fixed_ms", s->ttft.coef[SVC_FIXED_MS]);
+	jlog_num(en->log, "first_samples", s->ttft.samples);
 	jlog_num(en->log, "run_ms", s->run_ms);
-	jlog_num(en->log, "runs_seen", s->run_seen);
+	jlog_num(en->log, "runs_seen", s->run_samples);
 	jlog_end(en->log);
 }
 
@@ -58,7 +58,7 @@
 	observe_error(r, took);
 	if (!may_learn(r))
 		return;
-	svc_first_seen(r->model, &r->endpoint_state, took, r->prefill_known);
+	svc_on_ttft(r->model, &r->endpoint_state, took, r->prefill_known);
 	log_model_change(r->en, r->model);
 }
 
@@ -75,9 +75,9 @@
 	if (r->streaming && r->sends > 1)
 		return;
 	if (r->streaming && r->events.events > 1)
-		svc_pace_seen(r->model, r->endpoint_state.running,
-			      (double)(now - r->first_event_ms) /
-				      (double)(r->events.events - 1));
-	svc_run_seen(r->model, &r->endpoint_state, took);
+		svc_on_itl(r->model, r->endpoint_state.running,
+			   (double)(now - r->first_event_ms) /
+				   (double)(r->events.events - 1));
+	svc_on_run_end(r->model, &r->endpoint_state, took);
 	log_model_change(r->en, r->model);
 }
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -87,8 +87,8 @@
 		if (r->nr_services == GSP_MAX_SERVICES)
 			return;
 		row = &r->services[r->nr_services++];
-		svc_tell(s, &row->estimates);
-		row->prefill_tokens_per_s = svc_reads_per_s(s, now);
+		svc_export(s, &row->estimates);
+		row->prefill_tokens_per_s = svc_prefill_tokens_per_s(s, now);
 	}
 }
 
@@ -143,7 +143,7 @@
 
 static void fill_record(struct edge *en, struct gsp_record *r, int64_t now)
 {
-	const int64_t true_now = truth_now(&en->truth, now);
+	const int64_t true_now = walltime_now(&en->walltime, now);
 	const int64_t age = force_age(&en->force, now);
 	const int64_t from =
 		usage_window(&en->usage, true_now) - TOLD_WINDOWS + 1;
@@ -252,7 +252,7 @@
 /* ---- What we hear ---- */
 
 /* Of services that the configuration names, so that others cost nothing. */
-static void learn_told(struct edge *en, const struct svc_told *told)
+static void learn_told(struct edge *en, const struct svc_snapshot *told)
 {
 	const struct cfg *c = en->force.cfg;
 	size_t i;
@@ -269,7 +269,7 @@
 static void hear(struct edge *en, const struct gsp_record *r, int64_t now)
 {
 	struct prs_peer *p =
-		prs_receive(&en->prs, r, now, truth_now(&en->truth, now));
+		prs_receive(&en->prs, r, now, walltime_now(&en->walltime, now));
 	int64_t at;
 	unsigned i;
 
@@ -278,7 +278,7 @@
 	if (r->store_era > sto_era(en->store))
 		sto_learn_era(en->store, r->store_era);
 	for (i = 0; i < r->nr_counts; i++)
-		usage_learn(&en->usage, r->counts[i].source,
+		usage_merge(&en->usage, r->counts[i].source,
 			    r->counts[i].window, r->counts[i].account,
 			    r->counts[i].runs);
 	for (i = 0; i < r->nr_services; i++)
@@ -394,7 +394,7 @@
 		if (n <= MAX_ESTIMATES && prs_alive(p, now))
 			ahead[n++] = p->clock_offset_ms;
 	}
-	by = truth_compare(&en->truth, ahead, n);
+	by = walltime_correct(&en->walltime, ahead, n);
 	if (!by)
 		return;
 	/* What was heard is judged anew by the next datagrams. */
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -41,7 +41,7 @@
 static struct edge_scaled *scaled_of(struct edge_duty *d, const char *service,
 				     int64_t now)
 {
-	const struct carry_row *before;
+	const struct saved_plan_row *before;
 	struct edge_scaled *row;
 	size_t i;
 
@@ -57,17 +57,17 @@
 	row->eased_ms = now;
 	/* The former holder's plan, from the store. */
 	before = d->en->conf->policy.carry_plan
-			 ? carry_find(&d->en->plan, service)
+			 ? saved_plan_find(&d->en->plan, service)
 			 : NULL;
 	if (before) {
 		row->need = before->need;
-		row->firm_held = before->firm_held;
+		row->firm_held = before->on_demand_held;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "plan_begun");
 	jlog_str(d->en->log, "service", service);
 	jlog_bool(d->en->log, "carried", before != NULL);
 	jlog_num(d->en->log, "need", row->need.need);
-	jlog_num(d->en->log, "usual", row->need.usual);
+	jlog_num(d->en->log, "usual", row->need.baseline);
 	jlog_int(d->en->log, "fence", d->en->lead.fence);
 	jlog_end(d->en->log);
 	return row;
@@ -119,7 +119,7 @@
 	en->wire->encode_scale(&w, o->service, o->zone, o->reclaimable,
 			       number + (o->reclaimable
 						 ? z->spot_other_version
-						 : z->firm_other_version),
+						 : z->on_demand_other_version),
 			       &wire);
 	d->order = o;
 	d->order_number = number;
@@ -130,13 +130,13 @@
 	jlog_bool(en->log, "reclaimable", o->reclaimable);
 	jlog_int(en->log, "before", o->number);
 	jlog_int(en->log, "number", number);
-	jlog_int(en->log, "there", o->reclaimable ? z->spot : z->firm);
+	jlog_int(en->log, "there", o->reclaimable ? z->spot : z->on_demand);
 	jlog_int(en->log, "apart",
 		 o->reclaimable ? z->spot_other_version
-				: z->firm_other_version);
+				: z->on_demand_other_version);
 	jlog_int(en->log, "starting",
-		 o->reclaimable ? z->spot_coming : z->firm_coming);
-	jlog_int(en->log, "beside", o->reclaimable ? z->firm : z->spot);
+		 o->reclaimable ? z->spot_starting : z->on_demand_starting);
+	jlog_int(en->log, "beside", o->reclaimable ? z->on_demand : z->spot);
 	jlog_num(en->log, "need", scaled_of(d, o->service, now)->need.need);
 	jlog_int(en->log, "fence", en->lead.fence);
 	jlog_end(en->log);
@@ -202,7 +202,7 @@
 /* Prompt tokens to be read a second, of the requests at all entries. */
 static double reads_per_s(struct edge *en, const struct svc *s, int64_t now)
 {
-	double sum = svc_reads_per_s(s, now);
+	double sum = svc_prefill_tokens_per_s(s, now);
 	struct prs_peer *p;
 	unsigned i;
 
@@ -229,17 +229,17 @@
 	struct prs_peer *p;
 	unsigned i;
 
-	svc_slope_add(&mean, s->first.coef[SVC_READ_MS], s->first.samples);
+	svc_slope_add(&mean, s->ttft.coef[SVC_PREFILL_MS], s->ttft.samples);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (!p->last || !prs_alive(p, now))
 			continue;
 		for (i = 0; i < p->last->nr_services; i++) {
-			const struct svc_told *t =
+			const struct svc_snapshot *t =
 				&p->last->services[i].estimates;
 
 			if (t->service == s->hash)
-				svc_slope_add(&mean, t->first[SVC_READ_MS],
-					      t->samples);
+				svc_slope_add(&mean, t->ttft[SVC_PREFILL_MS],
+					      t->ttft_samples);
 		}
 	}
 	return svc_slope_mean(&mean);
@@ -250,16 +250,16 @@
 		      const struct edge_at_work *w)
 {
 	const struct svc *m = edge_service_model(en, s->name);
-	const double fit = svc_runs_fit(m, w->slots, s->gap_ms);
+	const double fit = svc_max_running(m, w->slots, s->gap_ms);
 
 	const struct svc_load load = {
-		.reads_per_s = reads_per_s(en, m, edge_now(en)),
-		.runs = w->runs,
+		.prefill_tokens_per_s = reads_per_s(en, m, edge_now(en)),
+		.running = w->runs,
 		.endpoints = w->usable,
-		.read_ms = read_ms_of_all(en, m, edge_now(en)),
+		.prefill_ms = read_ms_of_all(en, m, edge_now(en)),
 	};
 
-	return svc_busy(m, &load, fit);
+	return svc_busy_endpoints(m, &load, fit);
 }
 
 /* Endpoints of an order that were granted and may still be starting. */
@@ -283,7 +283,8 @@
 	if (e->info.reclaimable)
 		*(other_version ? &z->spot_other_version : &z->spot) += 1;
 	else
-		*(other_version ? &z->firm_other_version : &z->firm) += 1;
+		*(other_version ? &z->on_demand_other_version
+				: &z->on_demand) += 1;
 }
 
 static size_t zones_of(struct edge_duty *d, const struct cfg_service *s,
@@ -308,12 +309,12 @@
 			count_endpoint(d->en, z, e);
 		}
 		order = order_of(d, s->name, z->name, false);
-		z->firm_dry_ms = order->dry_ms;
-		z->firm_coming =
-			coming(order, z->firm, s->scaling.boot_ms, now);
+		z->no_on_demand_until_ms = order->dry_ms;
+		z->on_demand_starting =
+			coming(order, z->on_demand, s->scaling.boot_ms, now);
 		order = order_of(d, s->name, z->name, true);
-		z->spot_dry_ms = order->dry_ms;
-		z->spot_coming =
+		z->no_spot_until_ms = order->dry_ms;
+		z->spot_starting =
 			coming(order, z->spot, s->scaling.boot_ms, now);
 	}
 	return n;
@@ -322,8 +323,8 @@
 static bool carry_out(struct edge_duty *d, const struct cfg_service *s,
 		      const struct scale_zone *z, bool reclaimable)
 {
-	const int number = reclaimable ? z->want_spot : z->want_firm;
-	const int have = reclaimable ? z->spot : z->firm;
+	const int number = reclaimable ? z->want_spot : z->want_on_demand;
+	const int have = reclaimable ? z->spot : z->on_demand;
 	struct edge_order *o = order_of(d, s->name, z->name, reclaimable);
 	const int64_t now = edge_now(d->en);
 
@@ -358,10 +359,10 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		there += z[i].firm + z[i].spot;
+		there += z[i].on_demand + z[i].spot;
 	if (first < there / START_PART)
 		first = there / START_PART;
-	scale_look(need, load_of(d->en, s, &w), w.usable, first);
+	scale_update_need(need, load_of(d->en, s, &w), w.usable, first);
 }
 
 /* Plans again if on-demand endpoints would go too fast. */
@@ -372,14 +373,14 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		wanted += zones[i].want_firm;
-	d->firm_held = in->idle || !in->ease
+		wanted += zones[i].want_on_demand;
+	d->firm_held = in->no_load_yet || !in->ease
 			       ? wanted
-			       : scale_ease(d->firm_held, wanted,
-					    in->now_ms - d->eased_ms);
+			       : scale_limit_drain(d->firm_held, wanted,
+						   in->now_ms - d->eased_ms);
 	d->eased_ms = in->now_ms;
-	in->firm_least = (int)d->firm_held;
-	if (in->firm_least > wanted)
+	in->min_on_demand = (int)d->firm_held;
+	if (in->min_on_demand > wanted)
 		scale_plan(in, zones, n);
 }
 
@@ -401,7 +402,7 @@
 	size_t i;
 
 	follow_load(d, s, &row->need, zones, n);
-	in.idle = d->en->conf->first_start && !row->need.loaded;
+	in.no_load_yet = d->en->conf->first_start && !row->need.load_seen;
 	in.busy = row->need.need;
 	/* One for each zone at least, for their prompt caches. */
 	in.need = row->need.need < (double)n ? (double)n : row->need.need;
@@ -435,7 +436,7 @@
 		met_inc(d->en->m.store_failures);
 }
 
-static void write_plan(struct edge_duty *d, const struct carry *plan)
+static void write_plan(struct edge_duty *d, const struct saved_plan *plan)
 {
 	struct edge *en = d->en;
 	BUF_AUTO value = BUF_INIT;
@@ -443,7 +444,7 @@
 			      .nr_conditions = 1,
 			      .nr_rows = 1 };
 
-	carry_encode(plan, &value);
+	saved_plan_encode(plan, &value);
 	/* A former holder must not overwrite its successor's plan. */
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
@@ -454,22 +455,22 @@
 
 static void carry_on(struct edge_duty *d, int64_t now)
 {
-	struct carry plan = { .nr_rows = 0 };
-	struct carry_row *row;
+	struct saved_plan plan = { .nr_rows = 0 };
+	struct saved_plan_row *row;
 	size_t i;
 
 	if (d->writing_plan || now - d->plan_written_ms < PLAN_WRITE_MS)
 		return;
 	for (i = 0; i < d->nr_scaled; i++) {
-		if (!d->scaled[i].need.loaded)
+		if (!d->scaled[i].need.load_seen)
 			continue;
-		row = carry_row(&plan, d->scaled[i].service);
+		row = saved_plan_row(&plan, d->scaled[i].service);
 		if (!row)
 			break;
 		row->need = d->scaled[i].need;
-		row->firm_held = d->scaled[i].firm_held;
+		row->on_demand_held = d->scaled[i].firm_held;
 	}
-	if (!plan.nr_rows || !carry_differs(&plan, &d->en->plan))
+	if (!plan.nr_rows || !saved_plan_differs(&plan, &d->en->plan))
 		return;
 	d->plan_written_ms = now;
 	write_plan(d, &plan);
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -153,7 +153,8 @@
 			    (p->cached ? r->attempt.shared_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
-		svc_sent(r->model, r->endpoint_state.read_tokens, edge_now(en));
+		svc_on_sent(r->model, r->endpoint_state.tokens_to_prefill,
+			    edge_now(en));
 	if (r->route->cached && r->attempt.shared_part)
 		parts_record(&en->parts, r->attempt.shared_part,
 			     r->endpoint->hash, edge_now(en));
@@ -188,9 +189,9 @@
 	if (r->sends > 1)
 		met_inc(r->rq.started ? en->m.resumes : en->m.resends);
 	r->sent_ms = now;
-	r->sent_true_ms = truth_now(&en->truth, now);
+	r->sent_true_ms = walltime_now(&en->walltime, now);
 	memset(&r->reply, 0, sizeof(r->reply));
-	evs_restart(&r->events);
+	evs_drop_partial(&r->events);
 	log_send(r, p, &f);
 	en->wire->encode_request(&c->parse.msg, &c->body, &r->attempt, &f,
 				 &wire);
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -297,6 +297,6 @@
 
 	for (i = 0; i < EDGE_NR_SHARED_WATCHES; i++)
 		watch_tick(&en->watches[i], now);
-	if (en->lead.mine && en->conf->bounds.exposure_share > 0)
+	if (en->lead.is_holder && en->conf->bounds.exposure_share > 0)
 		watch_tick(&en->watches[EDGE_WATCH_ROLLOUTS], now);
 }
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -99,17 +99,17 @@
 
 static bool_t xdr_service(XDR *x, struct gsp_service *s)
 {
-	struct svc_told *t = &s->estimates;
+	struct svc_snapshot *t = &s->estimates;
 
 	return xdr_uint64_t(x, &t->service) &&
 	       xdr_estimate(x, &s->prefill_tokens_per_s) &&
-	       xdr_estimate(x, &t->samples) &&
-	       xdr_estimates(x, t->first, SVC_FIRST_COEFS) &&
-	       xdr_estimate(x, &t->first_off) &&
-	       xdr_estimate(x, &t->pace_samples) &&
-	       xdr_estimates(x, t->pace, SVC_PACE_COEFS) &&
-	       xdr_estimate(x, &t->pace_off) && xdr_estimate(x, &t->run_ms) &&
-	       xdr_estimate(x, &t->run_seen);
+	       xdr_estimate(x, &t->ttft_samples) &&
+	       xdr_estimates(x, t->ttft, SVC_TTFT_COEFS) &&
+	       xdr_estimate(x, &t->ttft_error) &&
+	       xdr_estimate(x, &t->itl_samples) &&
+	       xdr_estimates(x, t->itl, SVC_ITL_COEFS) &&
+	       xdr_estimate(x, &t->itl_error) && xdr_estimate(x, &t->run_ms) &&
+	       xdr_estimate(x, &t->run_samples);
 }
 
 static bool_t xdr_services(XDR *x, struct gsp_record *r)
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -55,7 +55,7 @@
 struct gsp_service {
 	double prefill_tokens_per_s; /* prompt tokens of the sender's requests
 				      * that need prefill */
-	struct svc_told estimates;
+	struct svc_snapshot estimates;
 };
 
 /* Outcomes of the sender's requests in a roll-out in progress. */
--- a/lib/route/pick.c
+++ b/lib/route/pick.c
@@ -78,11 +78,11 @@
 }
 
 static struct svc_state state_of(const struct flt_endpoint *e,
-				 double read_tokens)
+				 double tokens_to_prefill)
 {
 	return (struct svc_state){
-		.read_tokens = read_tokens,
-		.ahead_tokens = e->prefill_tokens + e->peer_prefill_tokens,
+		.tokens_to_prefill = tokens_to_prefill,
+		.queued_tokens = e->prefill_tokens + e->peer_prefill_tokens,
 		.running = e->running + e->peer_running,
 		.slots = e->info.slots,
 	};
@@ -125,12 +125,14 @@
 
 	r->state = state_of(e, q->unshared_tokens + repeated_tokens);
 	if (q->engine) {
-		r->wait_ms = svc_first_ms(q->model, &r->state);
+		r->wait_ms = svc_ttft_ms(q->model, &r->state);
 		cost = r->wait_ms +
 		       r->state.running * RUNNING_PREFILL_FRACTION *
-			       svc_read_ms(q->model, q->model->read_usual) +
+			       svc_prefill_ms(
+				       q->model,
+				       q->model->typical_prefill_tokens) +
 		       REPEATED_PREFILL_PENALTY *
-			       svc_read_ms(q->model, repeated_tokens);
+			       svc_prefill_ms(q->model, repeated_tokens);
 	} else {
 		r->wait_ms = svc_answer_ms(q->model, &r->state);
 		cost = r->wait_ms;
--- a/tests/test_evs.c
+++ b/tests/test_evs.c
@@ -1,4 +1,4 @@
-/* Streams of events: however the bytes are cut, whole events come out. */
+/* Tests of the splitting of event streams into whole events. */
 #include <stdio.h>
 #include <string.h>
 
@@ -16,7 +16,7 @@
 			i * 7, nl, nl);
 }
 
-static void any_cut_gives_whole_events(void)
+static void any_split_gives_whole_events(void)
 {
 	struct rnd rnd;
 	int round;
@@ -36,13 +36,13 @@
 				n = all.len - at;
 			evs_feed(&s, all.data + at, n, -1, &out);
 			at += n;
-			/* What came out ends with an event, always. */
+			/* The output always ends with a whole event. */
 			if (out.len)
 				CU_ASSERT_EQUAL(out.data[out.len - 1], '\n');
 		}
 		CU_ASSERT_EQUAL(s.events, 12);
 		CU_ASSERT_EQUAL(s.last_id, 12);
-		CU_ASSERT_FALSE(evs_torn(&s));
+		CU_ASSERT_FALSE(evs_has_partial(&s));
 		CU_ASSERT_EQUAL(out.len, all.len);
 		CU_ASSERT_STRING_EQUAL(buf_cstr(&out), buf_cstr(&all));
 		evs_free(&s);
@@ -50,11 +50,11 @@
 }
 
 /*
- * Symptom: a summary had half a sentence twice. Sequence: an endpoint died in
- * the middle of an event, the stream went on at another one. Cause: the torn
- * part had been passed on.
+ * An incomplete event must not be passed on. An endpoint crashed within an
+ * event, and the stream was resumed at another one: the client got half a
+ * sentence twice.
  */
-static void torn_event_is_not_passed_on(void)
+static void partial_event_is_not_passed_on(void)
 {
 	BUF_AUTO out = BUF_INIT;
 	BUF_AUTO first = BUF_INIT;
@@ -66,8 +66,8 @@
 	make_stream(&first, 1, 4, false);
 	evs_feed(&s, first.data, first.len - 9, -1, &out);
 	CU_ASSERT_EQUAL(s.last_id, 3);
-	CU_ASSERT(evs_torn(&s));
-	evs_restart(&s);
+	CU_ASSERT(evs_has_partial(&s));
+	evs_drop_partial(&s);
 	make_stream(&second, 4, 3, false);
 	evs_feed(&s, second.data, second.len, s.last_id, &out);
 	make_stream(&want, 1, 6, false);
@@ -76,8 +76,8 @@
 	evs_free(&s);
 }
 
-/* An endpoint that begins before the point asked for: no event twice. */
-static void events_that_the_caller_has_are_left_out(void)
+/* An endpoint that starts before the requested event repeats some. */
+static void repeated_events_are_skipped(void)
 {
 	BUF_AUTO out = BUF_INIT;
 	BUF_AUTO again = BUF_INIT;
@@ -92,7 +92,7 @@
 	evs_free(&s);
 }
 
-static void endless_event_is_noticed(void)
+static void oversized_event_is_detected(void)
 {
 	BUF_AUTO out = BUF_INIT;
 	char line[1024];
@@ -101,7 +101,7 @@
 
 	evs_init(&s);
 	memset(line, 'x', sizeof(line));
-	for (i = 0; i <= EVS_MAX_EVENT / 1024; i++)
+	for (i = 0; i <= EVS_MAX_EVENT_BYTES / 1024; i++)
 		evs_feed(&s, line, sizeof(line), -1, &out);
 	CU_ASSERT(s.too_large);
 	CU_ASSERT_EQUAL(out.len, 0);
@@ -109,11 +109,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "any cut gives whole events", any_cut_gives_whole_events },
-	{ "a torn event is not passed on", torn_event_is_not_passed_on },
-	{ "events that the caller has are left out",
-	  events_that_the_caller_has_are_left_out },
-	{ "an endless event is noticed", endless_event_is_noticed },
+	{ "any split gives whole events", any_split_gives_whole_events },
+	{ "a partial event is not passed on", partial_event_is_not_passed_on },
+	{ "repeated events are skipped", repeated_events_are_skipped },
+	{ "an oversized event is detected", oversized_event_is_detected },
 };
 
 UNIT_MAIN("evs", tests)
