--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -102,11 +102,11 @@
 	case RQ_NOT_RUN:
 		edge_req_answer(r, 503, why, EDGE_FULL_RETRY_MS);
 		break;
-	case RQ_BAD_GATE:
+	case RQ_BAD_GATEWAY:
 		edge_send_stop(r);
 		edge_req_answer(r, 502, why, -1);
 		break;
-	case RQ_TIME_OUT:
+	case RQ_TIMED_OUT:
 		edge_send_stop(r);
 		edge_req_answer(r, 504, why, -1);
 		break;
@@ -171,7 +171,7 @@
 	struct edge *en = r->en;
 
 	en->wire->reply(m, &r->a, &r->reply);
-	if (r->reply.other) {
+	if (r->reply.other_attempt) {
 		jlog_begin(en->log, JLOG_WARN, "foreign_answer");
 		jlog_str(en->log, "id", r->a.id);
 		jlog_str(en->log, "endpoint", r->endpoint->info.id);
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -38,10 +38,10 @@
 	edge_log_content(en, row->content);
 	jlog_str(en->log, "change", what);
 	jlog_str(en->log, "endpoint", endpoint);
-	jlog_int(en->log, "ends", fatal_count(row));
+	jlog_int(en->log, "ends", fatal_crash_count(row));
 	jlog_str(en->log, "route", row->route);
 	jlog_str(en->log, "account", row->account);
-	jlog_bool(en->log, "recorded", row->stored_true_ms != 0);
+	jlog_bool(en->log, "recorded", row->recorded_wall_ms != 0);
 	jlog_end(en->log);
 }
 
@@ -72,12 +72,12 @@
 /* ---- News ---- */
 
 static void on_changed(void *arg, const struct fatal_row *row,
-		       enum fatal_news news, uint64_t endpoint)
+		       enum fatal_change news, uint64_t endpoint)
 {
 	static const char *const words[] = {
 		[FATAL_SUSPECTED] = "suspected",
 		[FATAL_CONVICTED] = "convicted",
-		[FATAL_MORE] = "ended another",
+		[FATAL_CRASHED_AGAIN] = "ended another",
 		[FATAL_EXPLAINED] = "explained",
 		[FATAL_CLEARED] = "cleared",
 	};
@@ -131,8 +131,9 @@
 
 void edge_fatal_say(struct edge *en, struct gsp_record *out, int64_t now)
 {
-	out->nr_fatal = fatal_tell(&en->fatal, out->fatal, FATAL_MAX_TOLD,
-				   &en->nr_fatal_fresh, run_at, en, now);
+	out->nr_fatal =
+		fatal_collect_gossip(&en->fatal, out->fatal, FATAL_MAX_GOSSIP,
+				     &en->nr_fatal_fresh, run_at, en, now);
 }
 
 void edge_fatal_hear(struct edge *en, const struct gsp_record *r, int64_t now)
@@ -140,8 +141,8 @@
 	if (!r->nr_fatal)
 		return;
 	en->fatal_hearing = true;
-	fatal_heard(&en->fatal, edge_source(r->name, r->boot), r->fatal,
-		    r->nr_fatal, now);
+	fatal_merge_gossip(&en->fatal, edge_source(r->name, r->boot), r->fatal,
+			   r->nr_fatal, now);
 	en->fatal_hearing = false;
 	edge_fatal_mark(en);
 }
@@ -168,7 +169,7 @@
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
 		e->suspects = 0;
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
-		if (fatal_count(row) < FATAL_STRONG_ENDS)
+		if (fatal_crash_count(row) < FATAL_STRONG_CRASHES)
 			continue;
 		mark(en, run_at(en, row->content));
 		for (i = 0; i < row->nr_runs; i++)
@@ -202,10 +203,10 @@
 		return true;
 	/* Not itself: it is at no endpoint before it is sent. */
 	again = under_way(en, r->content) != NULL;
-	switch (fatal_ask(&en->fatal, r->content, again, edge_now(en))) {
-	case FATAL_FREE:
+	switch (fatal_check_send(&en->fatal, r->content, again, edge_now(en))) {
+	case FATAL_SEND:
 		return true;
-	case FATAL_APART:
+	case FATAL_ISOLATE:
 		r->apart = true;
 		return true;
 	case FATAL_WAIT:
@@ -216,7 +217,7 @@
 		give_up(r, "suspected of ending endpoints, and under way",
 			BUSY_RETRY_MS);
 		return false;
-	case FATAL_NEVER:
+	case FATAL_QUARANTINED:
 		give_up(r, "ends the endpoints that run it", NEVER_RETRY_MS);
 		return false;
 	}
@@ -250,13 +251,14 @@
 	/* An announced end takes what is left with it: nothing is to blame. */
 	if (flt_leaving_for(e, now) >= 0 && !e->ended)
 		return;
-	row = fatal_broke(&en->fatal, r->content, e->hash, now - r->sent_ms,
-			  !e->ended && edge_probe(en, e), now);
+	row = fatal_send_broke(&en->fatal, r->content, e->hash,
+			       now - r->sent_ms, !e->ended && edge_probe(en, e),
+			       now);
 	str_copy(row->route, r->route->name, sizeof(row->route));
 	if (r->account)
 		str_copy(row->account, r->account->name, sizeof(row->account));
 	if (e->ended)
-		fatal_ended(&en->fatal, e->hash, now);
+		fatal_endpoint_crashed(&en->fatal, e->hash, now);
 }
 
 void edge_fatal_probed(struct edge *en, struct flt_endpoint *e,
@@ -266,15 +268,15 @@
 
 	switch (found) {
 	case HTC_THERE:
-		fatal_lives(&en->fatal, e->hash);
+		fatal_endpoint_alive(&en->fatal, e->hash);
 		break;
 	case HTC_NOBODY:
 		met_inc(en->m.endpoints_ended);
 		flt_note_ended(e, now);
-		fatal_ended(&en->fatal, e->hash, now);
+		fatal_endpoint_crashed(&en->fatal, e->hash, now);
 		break;
 	case HTC_SILENT:
-		fatal_unsure(&en->fatal, e->hash);
+		fatal_endpoint_silent(&en->fatal, e->hash);
 		break;
 	}
 	edge_fatal_mark(en);
@@ -284,12 +286,12 @@
 void edge_fatal_gone(struct edge *en, const struct flt_endpoint *e)
 {
 	if (!e->drain_ms)
-		fatal_ended(&en->fatal, e->hash, edge_now(en));
+		fatal_endpoint_crashed(&en->fatal, e->hash, edge_now(en));
 }
 
 void edge_fatal_whole(struct edge_req *r)
 {
-	fatal_whole(&r->en->fatal, r->content, edge_now(r->en));
+	fatal_answer_complete(&r->en->fatal, r->content, edge_now(r->en));
 }
 
 void edge_fatal_sent(struct edge_req *r)
@@ -301,7 +303,7 @@
 	edge_fatal_mark(r->en);
 	/* Others wait for a strong suspect, and keep away from where it is. */
 	row = fatal_find(&r->en->fatal, r->content);
-	if (row && fatal_count(row) >= FATAL_STRONG_ENDS)
+	if (row && fatal_crash_count(row) >= FATAL_STRONG_CRASHES)
 		tell_soon(r->en);
 }
 
@@ -309,7 +311,7 @@
 {
 	const int64_t now = edge_now(r->en);
 
-	fatal_ran(&r->en->fatal, now - r->sent_ms, now);
+	fatal_add_run_time(&r->en->fatal, now - r->sent_ms, now);
 	/* Others may wait for it to be over. */
 	edge_fatal_sent(r);
 }
@@ -338,7 +340,7 @@
 	buf_json(&value, row->route);
 	buf_str(&value, ",\"account\":");
 	buf_json(&value, row->account);
-	buf_fmt(&value, ",\"ends\":%u,\"at_ms\":%lld}", fatal_count(row),
+	buf_fmt(&value, ",\"ends\":%u,\"at_ms\":%lld}", fatal_crash_count(row),
 		(long long)truth_now(&en->truth, now));
 	c.conditions[0] = (struct sto_condition){ key, 0 };
 	c.rows[0] = (struct sto_row){ key, value.data, value.len, 0 };
@@ -358,9 +360,10 @@
 static bool to_be_written(const struct edge *en, const struct fatal_row *row,
 			  int64_t now)
 {
-	if (!fatal_is_convicted(row) || (row->stored_true_ms && !row->lost))
+	if (!fatal_is_convicted(row) ||
+	    (row->recorded_wall_ms && !row->record_lost))
 		return false;
-	if (row->lost)
+	if (row->record_lost)
 		return en->watch_place == 0 && now >= row->store_next_ms;
 	if (row->store_next_ms)
 		return now >= row->store_next_ms;
@@ -374,13 +377,13 @@
 	unsigned recorded = 0;
 
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
-		recorded += row->stored_true_ms != 0;
+		recorded += row->recorded_wall_ms != 0;
 		if (to_be_written(en, row, now) && recorded < MAX_RECORDS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
 			write_record(en, row, now);
-		} else if (row->stored_true_ms && en->watch_place == 0 &&
+		} else if (row->recorded_wall_ms && en->watch_place == 0 &&
 			   now >= row->store_next_ms &&
-			   true_now - row->stored_true_ms > FATAL_KEEP_MS) {
+			   true_now - row->recorded_wall_ms > FATAL_KEEP_MS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
 			delete_record(en, row);
 		}
@@ -398,8 +401,8 @@
 		return;
 	}
 	en->fatal_hearing = true; /* all watch the store */
-	fatal_recorded(&en->fatal, content, jsn_int(o, "at_ms", 0),
-		       edge_now(en));
+	fatal_record_found(&en->fatal, content, jsn_int(o, "at_ms", 0),
+			   edge_now(en));
 	en->fatal_hearing = false;
 }
 
@@ -408,7 +411,7 @@
 	struct hsh_wide content;
 
 	if (hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
-		fatal_unrecorded(&en->fatal, content);
+		fatal_record_lost(&en->fatal, content);
 }
 
 void edge_fatal_lifted(struct edge *en, const char *key)
@@ -418,7 +421,7 @@
 	if (!hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
 		return;
 	en->fatal_hearing = true;
-	fatal_lifted(&en->fatal, content, edge_now(en));
+	fatal_release(&en->fatal, content, edge_now(en));
 	en->fatal_hearing = false;
 }
 
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -205,7 +205,7 @@
 {
 	if (!r->account->by_tokens)
 		return 1;
-	if (!r->a.counted)
+	if (!r->a.has_token_counts)
 		return r->account->default_tokens;
 	return r->a.prompt_tokens + r->a.output_tokens;
 }
@@ -418,7 +418,7 @@
 	ev_timer_stop(loop, t);
 	if (r->endpoint)
 		edge_rollout_failed(r, false);
-	edge_step(r, rq_time_up(&r->rq), "out of time");
+	edge_step(r, rq_timed_out(&r->rq), "out of time");
 }
 
 /* ---- The callers' connections ---- */
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -260,7 +260,7 @@
 /* Retries and requests with the same prompt prefix have the same key. */
 static uint64_t affinity_key(const struct edge_req *r)
 {
-	return r->a.shared_part ? r->a.shared_part : r->content.lo;
+	return r->a.prefix_hash ? r->a.prefix_hash : r->content.lo;
 }
 
 /* True if the watch of the records is up to date. */
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -81,7 +81,7 @@
 		.zone = en->conf->zone,
 		.engine = r->service->has_engine,
 		.prefix = en->conf->policy.affinity && r->route->cached
-				  ? r->a.shared_part
+				  ? r->a.prefix_hash
 				  : 0,
 		.ignore_failures = !en->conf->policy.avoid_failing,
 		.apart = r->apart,
@@ -90,8 +90,8 @@
 				       ? hsh_str(r->a.id, r->sends) | 1
 				       : 0,
 		.use = use,
-		.shared_tokens = r->a.shared_tokens,
-		.own_tokens = r->a.prompt_tokens - r->a.shared_tokens,
+		.shared_tokens = r->a.prefix_tokens,
+		.own_tokens = r->a.prompt_tokens - r->a.prefix_tokens,
 		.now_ms = edge_now(en),
 		.nr_excluded = r->nr_tried,
 		.parts = &en->parts,
@@ -143,12 +143,12 @@
 	r->expected_ms = p->wait_ms;
 	r->sure = p->sure;
 	r->prefill_tokens =
-		r->a.prompt_tokens - (p->cached ? r->a.shared_tokens : 0);
+		r->a.prompt_tokens - (p->cached ? r->a.prefix_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
 		svc_sent(r->model, r->at.read_tokens, edge_now(en));
-	if (r->route->cached && r->a.shared_part)
-		parts_used(&en->parts, r->a.shared_part, r->endpoint->hash,
+	if (r->route->cached && r->a.prefix_hash)
+		parts_used(&en->parts, r->a.prefix_hash, r->endpoint->hash,
 			   edge_now(en));
 }
 
--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -116,7 +116,7 @@
 	BUF_AUTO b = BUF_INIT;
 	bool ok;
 
-	if (t->outcome == FLOW_WHOLE) {
+	if (t->outcome == FLOW_COMPLETED) {
 		buf_fmt(&b, "id: %08x.%u\ndata: ", t->gen, w->offset);
 		add_object(w, &b, t, "", *t->finish ? t->finish : "stop");
 		buf_str(&b, "\n\ndata: [DONE]\n\n");
@@ -153,7 +153,7 @@
 {
 	const bool callers_fault = t->status >= 400 && t->status < 500;
 
-	if (t->stripped && t->outcome == FLOW_WHOLE) {
+	if (t->stripped && t->outcome == FLOW_COMPLETED) {
 		ent_refuse(w->en, w->rq, 410, "ran", 0, "Answer not kept",
 			   "the request was answered, but too long ago for its "
 			   "answer to be sent again");
@@ -231,10 +231,11 @@
 		write_failure(w, t);
 		return false;
 	}
-	if (w->begun || (w->stream && !t->plain && t->outcome == FLOW_WHOLE)) {
+	if (w->begun ||
+	    (w->stream && !t->plain && t->outcome == FLOW_COMPLETED)) {
 		if (begin_or_restart(w))
 			write_stream_end(w, t);
-	} else if (t->outcome == FLOW_WHOLE) {
+	} else if (t->outcome == FLOW_COMPLETED) {
 		write_whole(w, t);
 	} else {
 		write_failure(w, t);
--- a/lib/entry/ent_plain.c
+++ b/lib/entry/ent_plain.c
@@ -83,7 +83,7 @@
 	memcpy(rq->result, buf_cstr(&r->body), r->body.len);
 	rq->result_len = r->body.len;
 	str_copy(rq->result_type, r->content_type, sizeof(rq->result_type));
-	finish(rq, FLOW_WHOLE, r->status);
+	finish(rq, FLOW_COMPLETED, r->status);
 }
 
 /*
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -312,7 +312,7 @@
 	struct ent_metrics *m = &rq->en->m;
 	met_value *const rows[] = {
 		[FLOW_OPEN] = m->failed,
-		[FLOW_WHOLE] = m->whole,
+		[FLOW_COMPLETED] = m->whole,
 		[FLOW_NOT_RUN] = m->not_run,
 		[FLOW_FAILED] = rq->plain ? m->unknown : m->failed,
 	};
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -142,18 +142,18 @@
 	return xdr_uint64_t(x, &h->hi) && xdr_uint64_t(x, &h->lo);
 }
 
-static bool_t xdr_told(XDR *x, struct fatal_told *t)
+static bool_t xdr_told(XDR *x, struct fatal_gossip *t)
 {
 	unsigned i;
 
-	if (!xdr_wide(x, &t->content) || !xdr_uint64_t(x, &t->run_at) ||
-	    !xdr_u_int(x, &t->nr_ends) || t->nr_ends > FATAL_MAX_ENDS)
+	if (!xdr_wide(x, &t->content) || !xdr_uint64_t(x, &t->running_at) ||
+	    !xdr_u_int(x, &t->nr_crashes) || t->nr_crashes > FATAL_MAX_CRASHES)
 		return FALSE;
-	for (i = 0; i < t->nr_ends; i++) {
-		if (!xdr_uint64_t(x, &t->ends[i].endpoint) ||
-		    !xdr_uint32_t(x, &t->ends[i].age_ms) ||
-		    !xdr_uint32_t(x, &t->ends[i].weight) ||
-		    !xdr_flag(x, &t->ends[i].cleared))
+	for (i = 0; i < t->nr_crashes; i++) {
+		if (!xdr_uint64_t(x, &t->crashes[i].endpoint) ||
+		    !xdr_uint32_t(x, &t->crashes[i].age_ms) ||
+		    !xdr_uint32_t(x, &t->crashes[i].weight) ||
+		    !xdr_flag(x, &t->crashes[i].cleared))
 			return FALSE;
 	}
 	return TRUE;
@@ -166,7 +166,7 @@
 
 	if (!xdr_i64(x, &r->store_era) || r->store_era < 0)
 		return FALSE;
-	if (!xdr_u_int(x, &r->nr_fatal) || r->nr_fatal > FATAL_MAX_TOLD)
+	if (!xdr_u_int(x, &r->nr_fatal) || r->nr_fatal > FATAL_MAX_GOSSIP)
 		return FALSE;
 	for (i = 0; i < r->nr_fatal; i++) {
 		if (!xdr_told(x, &r->fatal[i]))
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -80,8 +80,8 @@
 	struct gsp_load loads[GSP_LOADS];
 	struct gsp_service services[GSP_SERVICES];
 	struct gsp_count counts[GSP_COUNTS];
-	struct fatal_told
-		fatal[FATAL_MAX_TOLD]; /* requests that end endpoints */
+	struct fatal_gossip
+		fatal[FATAL_MAX_GOSSIP]; /* requests that end endpoints */
 	struct gsp_tally tallies[GSP_TALLIES];
 	uint64_t rolled_back[GSP_ROLLED_BACK]; /* orders */
 };
--- a/lib/request/attempt.h
+++ b/lib/request/attempt.h
@@ -18,23 +18,23 @@
 	char key[ATTEMPT_KEY];	 /* of a client account; "": none */
 	int64_t deadline_ms;	 /* how long the caller waits; -1: not said */
 	int64_t resume_after;	 /* id of the last event it has; -1: none */
-	bool counted;		 /* it states its tokens */
+	bool has_token_counts;	 /* it states its tokens */
 	double prompt_tokens;
 	double output_tokens; /* at most */
-	uint64_t shared_part; /* hash of the prompt's shared parts; 0: none */
-	double shared_tokens; /* tokens in them */
+	uint64_t prefix_hash; /* hash of the prompt's shared parts; 0: none */
+	double prefix_tokens; /* tokens in them */
 };
 
 /* An endpoint's answer, from its head. */
 struct reply {
 	int status;
-	bool echoed;	  /* it names the attempt it answers */
-	bool other;	  /* it names another one: a late second answer */
-	bool not_run;	  /* it says that it did not run the request */
-	bool misdirected; /* another endpoint has the address */
-	bool sealed;	  /* it bears the endpoint's proof */
-	bool events;	  /* a stream of events follows */
-	bool encoded;	  /* the body is not the endpoint's own bytes */
+	bool echoed;	    /* it names the attempt it answers */
+	bool other_attempt; /* it names another one: a late second answer */
+	bool not_run;	    /* it says that it did not run the request */
+	bool misdirected;   /* another endpoint has the address */
+	bool sealed;	    /* it bears the endpoint's proof */
+	bool events;	    /* a stream of events follows */
+	bool encoded;	    /* the body is not the endpoint's own bytes */
 };
 
 /* What is set for the endpoint, beside what the caller sent. */
--- a/lib/request/fatal.c
+++ b/lib/request/fatal.c
@@ -32,8 +32,8 @@
 {
 	unsigned i, n = 0;
 
-	for (i = 0; i < row->nr_doubts; i++)
-		n += row->doubts[i].looking;
+	for (i = 0; i < row->nr_pending; i++)
+		n += row->pending[i].probing;
 	return n;
 }
 
@@ -42,59 +42,60 @@
 	unsigned i;
 
 	for (i = 0; i < row->nr_runs; i++) {
-		if (now - row->runs[i].heard_ms < KEEP_RUN_MS)
+		if (now - row->runs[i].updated_ms < KEEP_RUN_MS)
 			return true;
 	}
 	return false;
 }
 
-enum fatal_verdict fatal_ask(struct fatal *f, struct hsh_wide content,
-			     bool under_way, int64_t now)
+enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh_wide content,
+				    bool under_way, int64_t now)
 {
 	const struct fatal_row *row = fatal_find(f, content);
 	unsigned ends, looked;
 
 	if (!row)
-		return FATAL_FREE;
+		return FATAL_SEND;
 	if (fatal_is_convicted(row))
-		return FATAL_NEVER;
-	ends = fatal_count(row);
+		return FATAL_QUARANTINED;
+	ends = fatal_crash_count(row);
 	looked = looked_at(row);
-	if (looked && ends + looked >= FATAL_ENDS)
+	if (looked && ends + looked >= FATAL_CONVICT_CRASHES)
 		return FATAL_WAIT;
-	if (ends >= FATAL_STRONG_ENDS &&
+	if (ends >= FATAL_STRONG_CRASHES &&
 	    (under_way || runs_elsewhere(row, now)))
 		return FATAL_BUSY;
-	return ends ? FATAL_APART : FATAL_FREE;
+	return ends ? FATAL_ISOLATE : FATAL_SEND;
 }
 
 /* ---- Ends ---- */
 
-static struct fatal_doubt *doubt_at(struct fatal_row *row, uint64_t endpoint)
+static struct fatal_pending *doubt_at(struct fatal_row *row, uint64_t endpoint)
 {
 	unsigned i;
 
-	for (i = 0; i < row->nr_doubts; i++) {
-		if (row->doubts[i].endpoint == endpoint)
-			return &row->doubts[i];
+	for (i = 0; i < row->nr_pending; i++) {
+		if (row->pending[i].endpoint == endpoint)
+			return &row->pending[i];
 	}
 	return NULL;
 }
 
-static void drop_doubt(struct fatal_row *row, struct fatal_doubt *d)
+static void drop_doubt(struct fatal_row *row, struct fatal_pending *d)
 {
-	*d = row->doubts[--row->nr_doubts];
+	*d = row->pending[--row->nr_pending];
 }
 
-struct fatal_row *fatal_broke(struct fatal *f, struct hsh_wide content,
-			      uint64_t endpoint, int64_t ran_ms, bool looking,
-			      int64_t now)
+struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh_wide content,
+				   uint64_t endpoint, int64_t ran_ms,
+				   bool looking, int64_t now)
 {
 	struct fatal_row *row = fatal_get(f, content, now);
 
-	if (!doubt_at(row, endpoint) && row->nr_doubts < FATAL_MAX_DOUBTS)
-		row->doubts[row->nr_doubts++] =
-			(struct fatal_doubt){ endpoint, now, ran_ms, looking };
+	if (!doubt_at(row, endpoint) && row->nr_pending < FATAL_MAX_PENDING)
+		row->pending[row->nr_pending++] =
+			(struct fatal_pending){ endpoint, now, ran_ms,
+						looking };
 	return row;
 }
 
@@ -106,15 +107,15 @@
 		if (row->runs[i].endpoint == endpoint)
 			return true;
 	}
-	return doubt_at(row, endpoint) || fatal_end_at(row, endpoint);
+	return doubt_at(row, endpoint) || fatal_crash_at(row, endpoint);
 }
 
 /* Ends held against it but for that at this endpoint. */
 static unsigned ends_elsewhere(struct fatal_row *row, uint64_t endpoint)
 {
-	const struct fatal_end *e = fatal_end_at(row, endpoint);
+	const struct fatal_crash *e = fatal_crash_at(row, endpoint);
 
-	return fatal_count(row) - (e && !e->cleared);
+	return fatal_crash_count(row) - (e && !e->cleared);
 }
 
 /* Whom an end is laid to: the most that was held against any one there. */
@@ -144,18 +145,18 @@
 static unsigned weight_of(const struct fatal *f, int64_t ran_ms, int64_t now)
 {
 	const double per_ms =
-		fade_at(&f->ended, RATE_MS, now) /
+		fade_at(&f->crashed_sends, RATE_MS, now) /
 		(fade_at(&f->ran_ms, RATE_MS, now) + RATE_PRIOR_MS);
 	const double chance = per_ms * (double)(ran_ms + 1);
 
 	if (chance >= 1)
 		return 0;
-	if (chance <= pow(10, -FATAL_WEIGHT_MOST / 100.0))
-		return FATAL_WEIGHT_MOST;
+	if (chance <= pow(10, -FATAL_MAX_WEIGHT / 100.0))
+		return FATAL_MAX_WEIGHT;
 	return (unsigned)(-100 * log10(chance));
 }
 
-void fatal_ran(struct fatal *f, int64_t ran_ms, int64_t now)
+void fatal_add_run_time(struct fatal *f, int64_t ran_ms, int64_t now)
 {
 	fade_add(&f->ran_ms, (double)ran_ms, RATE_MS, now);
 }
@@ -169,7 +170,7 @@
 static bool is_shared(struct fatal_row *row, uint64_t endpoint,
 		      const struct blame *b)
 {
-	return b->most >= FATAL_STRONG_ENDS &&
+	return b->most >= FATAL_STRONG_CRASHES &&
 	       (b->tied > 1 || ends_elsewhere(row, endpoint) < b->most);
 }
 
@@ -179,7 +180,7 @@
 {
 	const struct blame b = blame_at(f, endpoint);
 	struct fatal_row *row, *next;
-	struct fatal_doubt *d;
+	struct fatal_pending *d;
 	unsigned weight;
 
 	cds_list_for_each_entry_safe(row, next, &f->rows, node) {
@@ -189,18 +190,18 @@
 		weight = is_shared(row, endpoint, &b)
 				 ? FATAL_WEIGHT_SHARED
 				 : weight_of(f, d->ran_ms, now);
-		if (b.most < FATAL_STRONG_ENDS)
-			fade_add(&f->ended, 1, RATE_MS, now);
+		if (b.most < FATAL_STRONG_CRASHES)
+			fade_add(&f->crashed_sends, 1, RATE_MS, now);
 		drop_doubt(row, d);
-		row->known = fatal_is_convicted(row);
-		if (!fatal_add_end(f, row, endpoint, weight, now))
+		row->was_convicted = fatal_is_convicted(row);
+		if (!fatal_add_crash(f, row, endpoint, weight, now))
 			continue;
 		cds_list_del(&row->node);
 		cds_list_add_tail(&row->node, guilty);
 	}
 }
 
-void fatal_ended(struct fatal *f, uint64_t endpoint, int64_t now)
+void fatal_endpoint_crashed(struct fatal *f, uint64_t endpoint, int64_t now)
 {
 	struct fatal_row *row, *next;
 	CDS_LIST_HEAD(guilty);
@@ -208,16 +209,16 @@
 	blame(f, endpoint, now, &guilty);
 	cds_list_for_each_entry_safe(row, next, &guilty, node) {
 		fatal_touch(f, row, now);
-		fatal_tell_end(f, row, row->known, endpoint);
+		fatal_report_crash(f, row, row->was_convicted, endpoint);
 		if (fatal_is_convicted(row))
 			fatal_explain_others(f, row, now);
 	}
 }
 
-void fatal_lives(struct fatal *f, uint64_t endpoint)
+void fatal_endpoint_alive(struct fatal *f, uint64_t endpoint)
 {
 	struct fatal_row *row, *next;
-	struct fatal_doubt *d;
+	struct fatal_pending *d;
 
 	cds_list_for_each_entry_safe(row, next, &f->rows, node) {
 		d = doubt_at(row, endpoint);
@@ -229,33 +230,34 @@
 	}
 }
 
-void fatal_unsure(struct fatal *f, uint64_t endpoint)
+void fatal_endpoint_silent(struct fatal *f, uint64_t endpoint)
 {
 	struct fatal_row *row;
-	struct fatal_doubt *d;
+	struct fatal_pending *d;
 
 	cds_list_for_each_entry(row, &f->rows, node) {
 		d = doubt_at(row, endpoint);
 		if (d)
-			d->looking = false;
+			d->probing = false;
 	}
 }
 
 static void clear(struct fatal *f, struct fatal_row *row, int64_t now)
 {
-	const bool any = fatal_count(row) > 0;
+	const bool any = fatal_crash_count(row) > 0;
 	unsigned i;
 
-	for (i = 0; i < row->nr_ends; i++)
-		row->ends[i].cleared = true;
-	row->nr_doubts = 0;
+	for (i = 0; i < row->nr_crashes; i++)
+		row->crashes[i].cleared = true;
+	row->nr_pending = 0;
 	if (!any)
 		return;
 	fatal_touch(f, row, now);
 	f->vt->changed(f->arg, row, FATAL_CLEARED, 0);
 }
 
-void fatal_whole(struct fatal *f, struct hsh_wide content, int64_t now)
+void fatal_answer_complete(struct fatal *f, struct hsh_wide content,
+			   int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
@@ -268,34 +270,34 @@
 
 /* ---- What lasts ---- */
 
-void fatal_recorded(struct fatal *f, struct hsh_wide content, int64_t true_ms,
-		    int64_t now)
+void fatal_record_found(struct fatal *f, struct hsh_wide content,
+			int64_t true_ms, int64_t now)
 {
 	struct fatal_row *row = fatal_get(f, content, now);
 	const bool known = fatal_is_convicted(row);
 
-	row->stored_true_ms = true_ms > 0 ? true_ms : 1;
-	row->lost = false;
+	row->recorded_wall_ms = true_ms > 0 ? true_ms : 1;
+	row->record_lost = false;
 	fatal_touch(f, row, now);
 	if (!known)
-		fatal_tell_end(f, row, false, 0);
+		fatal_report_crash(f, row, false, 0);
 }
 
-void fatal_unrecorded(struct fatal *f, struct hsh_wide content)
+void fatal_record_lost(struct fatal *f, struct hsh_wide content)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
 	if (row)
-		row->lost = true;
+		row->record_lost = true;
 }
 
-void fatal_lifted(struct fatal *f, struct hsh_wide content, int64_t now)
+void fatal_release(struct fatal *f, struct hsh_wide content, int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
 	if (!row)
 		return;
-	row->stored_true_ms = 0;
+	row->recorded_wall_ms = 0;
 	clear(f, row, now);
 	if (fatal_empty(row))
 		fatal_drop(f, row);
@@ -305,9 +307,9 @@
 {
 	unsigned i = 0;
 
-	while (i < row->nr_doubts) {
-		if (now - row->doubts[i].at_ms > KEEP_DOUBT_MS)
-			drop_doubt(row, &row->doubts[i]);
+	while (i < row->nr_pending) {
+		if (now - row->pending[i].at_ms > KEEP_DOUBT_MS)
+			drop_doubt(row, &row->pending[i]);
 		else
 			i++;
 	}
@@ -317,12 +319,12 @@
 {
 	const int64_t age = now - row->changed_ms;
 
-	if (row->stored_true_ms)
+	if (row->recorded_wall_ms)
 		return false; /* as long as its record */
 	if (fatal_empty(row))
 		return true;
-	if (!fatal_count(row))
-		return !row->nr_doubts && age > KEEP_CLEARED_MS;
+	if (!fatal_crash_count(row))
+		return !row->nr_pending && age > KEEP_CLEARED_MS;
 	return age >
 	       (fatal_is_convicted(row) ? FATAL_KEEP_MS : KEEP_SUSPECT_MS);
 }
--- a/lib/request/fatal_rows.c
+++ b/lib/request/fatal_rows.c
@@ -45,12 +45,12 @@
 	}
 }
 
-unsigned fatal_count(const struct fatal_row *row)
+unsigned fatal_crash_count(const struct fatal_row *row)
 {
 	unsigned i, n = 0;
 
-	for (i = 0; i < row->nr_ends; i++)
-		n += !row->ends[i].cleared;
+	for (i = 0; i < row->nr_crashes; i++)
+		n += !row->crashes[i].cleared;
 	return n;
 }
 
@@ -58,11 +58,12 @@
 {
 	unsigned i, weight = 0;
 
-	if (row->stored_true_ms || fatal_count(row) >= FATAL_ENDS_MOST)
+	if (row->recorded_wall_ms ||
+	    fatal_crash_count(row) >= FATAL_CONVICT_ALWAYS_CRASHES)
 		return true;
-	for (i = 0; i < row->nr_ends; i++)
-		weight += row->ends[i].cleared ? 0 : row->ends[i].weight;
-	return weight >= FATAL_WEIGHT_CONVICTS;
+	for (i = 0; i < row->nr_crashes; i++)
+		weight += row->crashes[i].cleared ? 0 : row->crashes[i].weight;
+	return weight >= FATAL_CONVICT_WEIGHT;
 }
 
 /*
@@ -112,21 +113,21 @@
 
 bool fatal_empty(const struct fatal_row *row)
 {
-	return !row->nr_ends && !row->nr_doubts && !row->stored_true_ms;
+	return !row->nr_crashes && !row->nr_pending && !row->recorded_wall_ms;
 }
 
-struct fatal_end *fatal_end_at(struct fatal_row *row, uint64_t endpoint)
+struct fatal_crash *fatal_crash_at(struct fatal_row *row, uint64_t endpoint)
 {
 	unsigned i;
 
-	for (i = 0; i < row->nr_ends; i++) {
-		if (row->ends[i].endpoint == endpoint)
-			return &row->ends[i];
+	for (i = 0; i < row->nr_crashes; i++) {
+		if (row->crashes[i].endpoint == endpoint)
+			return &row->crashes[i];
 	}
 	return NULL;
 }
 
-bool fatal_weigh_less(struct fatal_end *e, unsigned weight)
+bool fatal_lower_weight(struct fatal_crash *e, unsigned weight)
 {
 	if (e->weight <= weight)
 		return false;
@@ -142,47 +143,46 @@
 
 	cds_list_for_each_entry(other, &f->rows, node) {
 		if (other != row && fatal_is_convicted(other) &&
-		    fatal_end_at(other, endpoint))
+		    fatal_crash_at(other, endpoint))
 			return true;
 	}
 	return false;
 }
 
 /* Room for an end, if need be that of the oldest one which does not count. */
-static struct fatal_end *room_for_end(struct fatal_row *row)
+static struct fatal_crash *room_for_end(struct fatal_row *row)
 {
 	unsigned i;
 
-	if (row->nr_ends < FATAL_MAX_ENDS)
-		return &row->ends[row->nr_ends++];
-	for (i = 0; i < row->nr_ends; i++) {
-		if (!row->ends[i].cleared)
+	if (row->nr_crashes < FATAL_MAX_CRASHES)
+		return &row->crashes[row->nr_crashes++];
+	for (i = 0; i < row->nr_crashes; i++) {
+		if (!row->crashes[i].cleared)
 			continue;
-		memmove(&row->ends[i], &row->ends[i + 1],
-			(row->nr_ends - i - 1) * sizeof(row->ends[0]));
-		return &row->ends[row->nr_ends - 1];
+		memmove(&row->crashes[i], &row->crashes[i + 1],
+			(row->nr_crashes - i - 1) * sizeof(row->crashes[0]));
+		return &row->crashes[row->nr_crashes - 1];
 	}
 	return NULL;
 }
 
-bool fatal_add_end(struct fatal *f, struct fatal_row *row, uint64_t endpoint,
-		   unsigned weight, int64_t at)
+bool fatal_add_crash(struct fatal *f, struct fatal_row *row, uint64_t endpoint,
+		     unsigned weight, int64_t at)
 {
-	struct fatal_end *e;
+	struct fatal_crash *e;
 
-	if (fatal_end_at(row, endpoint))
+	if (fatal_crash_at(row, endpoint))
 		return false;
 	e = room_for_end(row);
 	if (!e)
 		return false;
-	*e = (struct fatal_end){
+	*e = (struct fatal_crash){
 		.endpoint = endpoint,
 		.at_ms = at,
-		.weight = weight < FATAL_WEIGHT_MOST ? weight
-						     : FATAL_WEIGHT_MOST,
+		.weight = weight < FATAL_MAX_WEIGHT ? weight : FATAL_MAX_WEIGHT,
 	};
 	if (!fatal_is_convicted(row) && is_explained(f, row, endpoint))
-		fatal_weigh_less(e, FATAL_WEIGHT_SHARED);
+		fatal_lower_weight(e, FATAL_WEIGHT_SHARED);
 	return true;
 }
 
@@ -196,10 +196,10 @@
 		if (row == by || fatal_is_convicted(row))
 			continue;
 		changed = false;
-		for (i = 0; i < row->nr_ends; i++) {
-			if (fatal_end_at(by, row->ends[i].endpoint))
-				changed |= fatal_weigh_less(
-					&row->ends[i], FATAL_WEIGHT_SHARED);
+		for (i = 0; i < row->nr_crashes; i++) {
+			if (fatal_crash_at(by, row->crashes[i].endpoint))
+				changed |= fatal_lower_weight(
+					&row->crashes[i], FATAL_WEIGHT_SHARED);
 		}
 		if (!changed)
 			continue;
@@ -208,13 +208,13 @@
 	}
 }
 
-void fatal_tell_end(struct fatal *f, const struct fatal_row *row, bool known,
-		    uint64_t endpoint)
+void fatal_report_crash(struct fatal *f, const struct fatal_row *row,
+			bool known, uint64_t endpoint)
 {
-	enum fatal_news news = FATAL_SUSPECTED;
+	enum fatal_change news = FATAL_SUSPECTED;
 
 	if (known)
-		news = FATAL_MORE;
+		news = FATAL_CRASHED_AGAIN;
 	else if (fatal_is_convicted(row))
 		news = FATAL_CONVICTED;
 	f->vt->changed(f->arg, row, news, endpoint);
--- a/lib/request/flow.c
+++ b/lib/request/flow.c
@@ -191,7 +191,7 @@
 		f->ran = true;
 		if (ev->offset != f->tokens)
 			return on_broken(f, now_ms);
-		return finish(f, FLOW_WHOLE);
+		return finish(f, FLOW_COMPLETED);
 	case FLOW_EV_REFUSED:
 		return route_again(f, now_ms, false);
 	case FLOW_EV_BROKEN:
--- a/lib/request/flow.h
+++ b/lib/request/flow.h
@@ -36,9 +36,9 @@
 
 enum flow_outcome {
 	FLOW_OPEN,
-	FLOW_WHOLE,   /* answered completely */
-	FLOW_NOT_RUN, /* given up before any byte reached an endpoint */
-	FLOW_FAILED,  /* ran, but could not be completed: told at once */
+	FLOW_COMPLETED, /* answered completely */
+	FLOW_NOT_RUN,	/* given up before any byte reached an endpoint */
+	FLOW_FAILED,	/* ran, but could not be completed: told at once */
 };
 
 enum flow_action_kind {
--- a/lib/request/rq.c
+++ b/lib/request/rq.c
@@ -48,7 +48,7 @@
 {
 	if (r->started)
 		return end(r, RQ_CUT);
-	return end(r, r->runs ? RQ_BAD_GATE : RQ_NOT_RUN);
+	return end(r, r->runs ? RQ_BAD_GATEWAY : RQ_NOT_RUN);
 }
 
 static enum rq_step run_is_lost(struct rq *r, bool again)
@@ -121,14 +121,14 @@
 	return give_up(r);
 }
 
-enum rq_step rq_time_up(struct rq *r)
+enum rq_step rq_timed_out(struct rq *r)
 {
 	if (r->started)
 		return end(r, RQ_CUT);
-	return end(r, r->sending || r->runs ? RQ_TIME_OUT : RQ_NOT_RUN);
+	return end(r, r->sending || r->runs ? RQ_TIMED_OUT : RQ_NOT_RUN);
 }
 
-enum rq_step rq_gone(struct rq *r)
+enum rq_step rq_caller_gone(struct rq *r)
 {
 	return end(r, RQ_DROP);
 }
--- a/lib/request/rq.h
+++ b/lib/request/rq.h
@@ -29,14 +29,14 @@
 #define RQ_MAX_UNREACHED 8
 
 enum rq_step {
-	RQ_SEND,     /* send to an endpoint, from the beginning */
-	RQ_RESUME,   /* send to an endpoint, after the last event passed on */
-	RQ_PASS,     /* give the endpoint's answer to the caller */
-	RQ_NOT_RUN,  /* tell: not run, and never will be */
-	RQ_BAD_GATE, /* tell: no answer came, it may have run */
-	RQ_TIME_OUT, /* tell: out of time, it may have run */
-	RQ_CUT,	     /* close the connection: the answer stays incomplete */
-	RQ_DROP,     /* nobody waits: stop */
+	RQ_SEND,    /* send to an endpoint, from the beginning */
+	RQ_RESUME,  /* send to an endpoint, after the last event passed on */
+	RQ_PASS,    /* give the endpoint's answer to the caller */
+	RQ_NOT_RUN, /* tell: not run, and never will be */
+	RQ_BAD_GATEWAY, /* tell: no answer came, it may have run */
+	RQ_TIMED_OUT,	/* tell: out of time, it may have run */
+	RQ_CUT,		/* close the connection: the answer stays incomplete */
+	RQ_DROP,	/* nobody waits: stop */
 };
 
 struct rq {
@@ -88,9 +88,9 @@
 enum rq_step rq_no_endpoint(struct rq *r);
 
 /* The deadline, or the route's time-out, is reached. */
-enum rq_step rq_time_up(struct rq *r);
+enum rq_step rq_timed_out(struct rq *r);
 
 /* The caller left. */
-enum rq_step rq_gone(struct rq *r);
+enum rq_step rq_caller_gone(struct rq *r);
 
 #endif
--- a/tests/support/sched_flow.c
+++ b/tests/support/sched_flow.c
@@ -238,7 +238,7 @@
 	}
 	if (f->tokens)
 		s->gen = flow_gen(f);
-	if (f->phase == FLOW_DONE && f->outcome == FLOW_WHOLE) {
+	if (f->phase == FLOW_DONE && f->outcome == FLOW_COMPLETED) {
 		s->answered = true;
 		check_answered(s->c, s->key, MAX_TOKENS);
 	}
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -105,7 +105,8 @@
 static void tokens_that_follow_have_no_mark(void)
 {
 	static const struct said said[] = { { false, 7, 3, 2, FLOW_OPEN },
-					    { false, 7, 5, 0, FLOW_WHOLE } };
+					    { false, 7, 5, 0,
+					      FLOW_COMPLETED } };
 	BUF_AUTO got = BUF_INIT;
 
 	ask(said, 2, "Last-Event-ID: 00000007.3", &got);
@@ -121,7 +122,8 @@
 					    { false, 9, 0, 0, FLOW_OPEN },
 					    { false, 9, 0, 2, FLOW_OPEN },
 					    { false, 9, 2, 1, FLOW_OPEN },
-					    { false, 9, 3, 0, FLOW_WHOLE } };
+					    { false, 9, 3, 0,
+					      FLOW_COMPLETED } };
 	BUF_AUTO got = BUF_INIT;
 	const char *mark, *first;
 
@@ -136,8 +138,9 @@
 /* The new run ends without a token. */
 static void restart_is_told_before_an_empty_end(void)
 {
-	static const struct said said[] = { { true, 0, 0, 0, FLOW_OPEN },
-					    { false, 9, 0, 0, FLOW_WHOLE } };
+	static const struct said said[] = {
+		{ true, 0, 0, 0, FLOW_OPEN }, { false, 9, 0, 0, FLOW_COMPLETED }
+	};
 	BUF_AUTO got = BUF_INIT;
 
 	ask(said, 2, "Last-Event-ID: 00000007.3", &got);
@@ -157,7 +160,8 @@
 {
 	static const struct said said[] = { { true, 0, 0, 0, FLOW_OPEN },
 					    { false, 9, 0, 1, FLOW_OPEN },
-					    { false, 9, 1, 0, FLOW_WHOLE } };
+					    { false, 9, 1, 0,
+					      FLOW_COMPLETED } };
 	char last_id[32] = "00000007.3";
 	BUF_AUTO got = BUF_INIT;
 	unsigned gen, offset = 99;
--- a/tests/test_fatal.c
+++ b/tests/test_fatal.c
@@ -19,7 +19,7 @@
 static unsigned told[FATAL_CLEARED + 1];
 
 static void count_news(void *arg, const struct fatal_row *row,
-		       enum fatal_news news, uint64_t endpoint)
+		       enum fatal_change news, uint64_t endpoint)
 {
 	(void)arg;
 	(void)row;
@@ -41,8 +41,8 @@
 static void end_under(struct fatal *f, struct hsh_wide content,
 		      uint64_t endpoint, int64_t now)
 {
-	fatal_broke(f, content, endpoint, 0, true, now);
-	fatal_ended(f, endpoint, now);
+	fatal_send_broke(f, content, endpoint, 0, true, now);
+	fatal_endpoint_crashed(f, endpoint, now);
 }
 
 static void three_ends_convict(void)
@@ -50,17 +50,17 @@
 	struct fatal f;
 
 	start(&f);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_FREE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_SEND);
 	end_under(&f, A, 11, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, true, 0), FATAL_APART);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, true, 0), FATAL_ISOLATE);
 	end_under(&f, A, 12, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_APART);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, true, 0), FATAL_BUSY);
-	fatal_broke(&f, A, 13, 0, true, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_WAIT);
-	fatal_ended(&f, 13, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_NEVER);
-	CU_ASSERT_EQUAL(fatal_ask(&f, B, false, 0), FATAL_FREE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_ISOLATE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, true, 0), FATAL_BUSY);
+	fatal_send_broke(&f, A, 13, 0, true, 0);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_WAIT);
+	fatal_endpoint_crashed(&f, 13, 0);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_QUARANTINED);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, B, false, 0), FATAL_SEND);
 	CU_ASSERT_EQUAL(told[FATAL_SUSPECTED], 2);
 	CU_ASSERT_EQUAL(told[FATAL_CONVICTED], 1);
 	fatal_free(&f);
@@ -74,10 +74,10 @@
 
 	start(&f);
 	for (at = 11; at < 31; at++) {
-		fatal_broke(&f, A, at, 0, true, 0);
-		fatal_lives(&f, at);
+		fatal_send_broke(&f, A, at, 0, true, 0);
+		fatal_endpoint_alive(&f, at);
 	}
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_FREE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_SEND);
 	CU_ASSERT_EQUAL(f.count, 0);
 	fatal_free(&f);
 }
@@ -90,16 +90,17 @@
 
 	start(&f);
 	for (at = 11; at < 14; at++) {
-		fatal_broke(&f, A, at, 0, true, 0);
-		fatal_unsure(&f, at);
+		fatal_send_broke(&f, A, at, 0, true, 0);
+		fatal_endpoint_silent(&f, at);
 	}
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_FREE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_SEND);
 	for (at = 11; at < 14; at++)
-		fatal_ended(&f, at, 4000);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 4000), FATAL_NEVER);
-	fatal_broke(&f, B, 21, 0, false, 4000);
+		fatal_endpoint_crashed(&f, at, 4000);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 4000),
+			FATAL_QUARANTINED);
+	fatal_send_broke(&f, B, 21, 0, false, 4000);
 	fatal_expire(&f, 11000);
-	fatal_ended(&f, 21, 11000);
+	fatal_endpoint_crashed(&f, 21, 11000);
 	CU_ASSERT_PTR_NULL(fatal_find(&f, B));
 	fatal_free(&f);
 }
@@ -111,11 +112,11 @@
 	start(&f);
 	end_under(&f, A, 11, 0);
 	end_under(&f, A, 12, 0);
-	fatal_whole(&f, A, 0);
+	fatal_answer_complete(&f, A, 0);
 	CU_ASSERT_EQUAL(told[FATAL_CLEARED], 1);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, true, 0), FATAL_FREE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, true, 0), FATAL_SEND);
 	end_under(&f, A, 13, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_APART);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_ISOLATE);
 	fatal_free(&f);
 }
 
@@ -123,26 +124,28 @@
 static void neighbours_are_not_blamed(void)
 {
 	struct fatal f;
-	struct fatal_told row = { .content = B, .nr_ends = 1, .run_at = 12 };
+	struct fatal_gossip row = { .content = B,
+				    .nr_crashes = 1,
+				    .running_at = 12 };
 
 	start(&f);
 	end_under(&f, A, 11, 0);
-	row.ends[0].endpoint = 9;
-	fatal_heard(&f, 77, &row, 1, 0);
-	fatal_broke(&f, A, 12, 0, true, 0);
-	fatal_ended(&f, 12, 0);
+	row.crashes[0].endpoint = 9;
+	fatal_merge_gossip(&f, 77, &row, 1, 0);
+	fatal_send_broke(&f, A, 12, 0, true, 0);
+	fatal_endpoint_crashed(&f, 12, 0);
 	/* Little is held against either: both are blamed. */
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&f, A)), 2);
-	row.nr_ends = 2;
-	row.ends[1].endpoint = 12;
-	row.run_at = 13;
-	fatal_heard(&f, 77, &row, 1, 0);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&f, A)), 2);
+	row.nr_crashes = 2;
+	row.crashes[1].endpoint = 12;
+	row.running_at = 13;
+	fatal_merge_gossip(&f, 77, &row, 1, 0);
 	end_under(&f, A, 13, 0);
 	/* Much is held against both: it weighs little. */
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&f, A)), 3);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_APART);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&f, A)), 3);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_ISOLATE);
 	end_under(&f, A, 14, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_NEVER);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_QUARANTINED);
 	fatal_free(&f);
 }
 
@@ -152,24 +155,24 @@
 	struct fatal f;
 
 	start(&f);
-	fatal_broke(&f, B, 11, 0, true, 0);
+	fatal_send_broke(&f, B, 11, 0, true, 0);
 	end_under(&f, A, 11, 0);
 	end_under(&f, A, 12, 0);
 	end_under(&f, B, 22, 0);
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&f, B)), 2);
-	fatal_broke(&f, B, 13, 0, true, 0);
-	fatal_lives(&f, 13);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&f, B)), 2);
+	fatal_send_broke(&f, B, 13, 0, true, 0);
+	fatal_endpoint_alive(&f, 13);
 	end_under(&f, A, 14, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_NEVER);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_QUARANTINED);
 	CU_ASSERT_EQUAL(told[FATAL_EXPLAINED], 1);
 	/* Late news of an end that is explained. */
 	end_under(&f, B, 12, 0);
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&f, B)), 3);
-	CU_ASSERT_EQUAL(fatal_ask(&f, B, false, 0), FATAL_APART);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&f, B)), 3);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, B, false, 0), FATAL_ISOLATE);
 	/* It is guilty all the same if it goes on. */
 	end_under(&f, B, 23, 0);
 	end_under(&f, B, 24, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, B, false, 0), FATAL_NEVER);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, B, false, 0), FATAL_QUARANTINED);
 	fatal_free(&f);
 }
 
@@ -182,12 +185,12 @@
 
 static void pass(struct fatal *from, struct fatal *to, uint64_t as, int64_t now)
 {
-	struct fatal_told rows[FATAL_MAX_TOLD];
+	struct fatal_gossip rows[FATAL_MAX_GOSSIP];
 	unsigned fresh, n;
 
-	n = fatal_tell(from, rows, FATAL_MAX_TOLD, &fresh, runs_nowhere, NULL,
-		       now);
-	fatal_heard(to, as, rows, n, now);
+	n = fatal_collect_gossip(from, rows, FATAL_MAX_GOSSIP, &fresh,
+				 runs_nowhere, NULL, now);
+	fatal_merge_gossip(to, as, rows, n, now);
 }
 
 /* In any order, any number of times; what was cleared stays so. */
@@ -206,13 +209,13 @@
 		pass(&f, &g, 1, 10 + i);
 		pass(&g, &f, 2, 10 + i);
 	}
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&f, A)), 3);
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&g, A)), 3);
-	fatal_whole(&g, A, 20);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&f, A)), 3);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&g, A)), 3);
+	fatal_answer_complete(&g, A, 20);
 	pass(&f, &g, 1, 21);
-	CU_ASSERT_EQUAL(fatal_count(fatal_find(&g, A)), 0);
+	CU_ASSERT_EQUAL(fatal_crash_count(fatal_find(&g, A)), 0);
 	pass(&g, &f, 2, 22);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 22), FATAL_FREE);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 22), FATAL_SEND);
 	fatal_free(&f);
 	fatal_free(&g);
 }
@@ -229,7 +232,7 @@
 	for (i = 0; i < 3 * FATAL_MAX_ROWS; i++)
 		end_under(&f, (struct hsh_wide){ 100 + i, 0 }, 1000 + i, 1);
 	CU_ASSERT_EQUAL(f.count, FATAL_MAX_ROWS);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 1), FATAL_NEVER);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 1), FATAL_QUARANTINED);
 	fatal_free(&f);
 }
 
@@ -238,18 +241,19 @@
 	struct fatal f;
 
 	start(&f);
-	fatal_recorded(&f, A, 1000, 0);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 0), FATAL_NEVER);
+	fatal_record_found(&f, A, 1000, 0);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 0), FATAL_QUARANTINED);
 	fatal_expire(&f, FATAL_KEEP_MS * 2);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, FATAL_KEEP_MS * 2),
-			FATAL_NEVER);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, FATAL_KEEP_MS * 2),
+			FATAL_QUARANTINED);
 	/* A store that came back from a copy has lost it, nobody lifted it. */
-	fatal_unrecorded(&f, A);
-	CU_ASSERT(fatal_find(&f, A)->lost);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, FATAL_KEEP_MS * 2),
-			FATAL_NEVER);
-	fatal_lifted(&f, A, FATAL_KEEP_MS * 2);
-	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, FATAL_KEEP_MS * 2), FATAL_FREE);
+	fatal_record_lost(&f, A);
+	CU_ASSERT(fatal_find(&f, A)->record_lost);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, FATAL_KEEP_MS * 2),
+			FATAL_QUARANTINED);
+	fatal_release(&f, A, FATAL_KEEP_MS * 2);
+	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, FATAL_KEEP_MS * 2),
+			FATAL_SEND);
 	end_under(&f, B, 11, 0);
 	fatal_expire(&f, FATAL_KEEP_MS);
 	CU_ASSERT_PTR_NULL(fatal_find(&f, B));
@@ -295,7 +299,7 @@
 };
 
 struct mail {
-	struct fatal_told rows[FATAL_MAX_TOLD];
+	struct fatal_gossip rows[FATAL_MAX_GOSSIP];
 	unsigned n;
 	int from, to;
 	int64_t due_ms;
@@ -328,7 +332,7 @@
 }
 
 static void on_news(void *arg, const struct fatal_row *row,
-		    enum fatal_news news, uint64_t endpoint)
+		    enum fatal_change news, uint64_t endpoint)
 {
 	const int entry = (int)((struct fatal *)arg - sim.f);
 
@@ -357,8 +361,8 @@
 	unsigned i;
 
 	cds_list_for_each_entry(row, &sim.f[entry].rows, node) {
-		for (i = 0;
-		     fatal_count(row) >= FATAL_STRONG_ENDS && i < row->nr_runs;
+		for (i = 0; fatal_crash_count(row) >= FATAL_STRONG_CRASHES &&
+			    i < row->nr_runs;
 		     i++) {
 			if (row->runs[i].endpoint == sim.at[at].hash)
 				return true;
@@ -413,14 +417,14 @@
 
 static void send(int entry, struct hsh_wide c, int sends)
 {
-	const enum fatal_verdict v =
-		fatal_ask(&sim.f[entry], c, under_way(entry, c), sim.now);
-	const int at = place(entry, v == FATAL_APART);
+	const enum fatal_verdict v = fatal_check_send(
+		&sim.f[entry], c, under_way(entry, c), sim.now);
+	const int at = place(entry, v == FATAL_ISOLATE);
 	struct sim_run *r;
 
 	if (!is_guilty(c))
-		sim.wrongly += v == FATAL_NEVER;
-	if (at < 0 || (v != FATAL_FREE && v != FATAL_APART))
+		sim.wrongly += v == FATAL_QUARANTINED;
+	if (at < 0 || (v != FATAL_SEND && v != FATAL_ISOLATE))
 		return;
 	r = free_run();
 	if (!r)
@@ -431,7 +435,7 @@
 		    rnd_below(&sim.rnd, is_guilty(c) ? 90
 					: c.hi == 2  ? 30
 						     : 1400);
-	if (v == FATAL_APART)
+	if (v == FATAL_ISOLATE)
 		sim.news[entry] = true;
 }
 
@@ -449,9 +453,9 @@
 
 static void break_run(struct sim_run *r, bool looking)
 {
-	fatal_broke(&sim.f[r->entry], r->content, sim.at[r->at].hash,
-		    sim.now - r->sent_ms, looking, sim.now);
-	fatal_ran(&sim.f[r->entry], sim.now - r->sent_ms, sim.now);
+	fatal_send_broke(&sim.f[r->entry], r->content, sim.at[r->at].hash,
+			 sim.now - r->sent_ms, looking, sim.now);
+	fatal_add_run_time(&sim.f[r->entry], sim.now - r->sent_ms, sim.now);
 	r->live = false;
 }
 
@@ -468,7 +472,7 @@
 		break_run(&sim.runs[i], true);
 	}
 	for (i = 0; i < sim.s.entries; i++)
-		fatal_ended(&sim.f[i], hash, sim.now);
+		fatal_endpoint_crashed(&sim.f[i], hash, sim.now);
 	sim.at[at].up_ms = sim.now + START_AGAIN_MS;
 	sim.at[at].hash = ++sim.next;
 	for (i = 0; i < n; i++)
@@ -487,9 +491,10 @@
 	copy = *r;
 	break_run(r, true);
 	if (sim.s.twin == BREAKS_ARE_ENDS)
-		fatal_ended(&sim.f[copy.entry], sim.at[copy.at].hash, sim.now);
+		fatal_endpoint_crashed(&sim.f[copy.entry], sim.at[copy.at].hash,
+				       sim.now);
 	else
-		fatal_lives(&sim.f[copy.entry], sim.at[copy.at].hash);
+		fatal_endpoint_alive(&sim.f[copy.entry], sim.at[copy.at].hash);
 	again(&copy);
 }
 
@@ -500,7 +505,7 @@
 {
 	const uint64_t g = r->content.lo;
 
-	if (++sim.ends[g] == FATAL_ENDS)
+	if (++sim.ends[g] == FATAL_CONVICT_CRASHES)
 		sim.third_ms[g] = sim.now;
 	sim.after[g] += sim.third_ms[g] &&
 			r->sent_ms > sim.third_ms[g] + KNOWN_MS;
@@ -521,9 +526,11 @@
 			continue;
 		}
 		r->live = false;
-		fatal_ran(&sim.f[r->entry], sim.now - r->sent_ms, sim.now);
+		fatal_add_run_time(&sim.f[r->entry], sim.now - r->sent_ms,
+				   sim.now);
 		if (sim.s.twin != NEVER_CLEARS)
-			fatal_whole(&sim.f[r->entry], r->content, sim.now);
+			fatal_answer_complete(&sim.f[r->entry], r->content,
+					      sim.now);
 	}
 }
 
@@ -547,8 +554,8 @@
 	int to;
 
 	sim.news[entry] = false;
-	m.n = fatal_tell(&sim.f[entry], m.rows, FATAL_MAX_TOLD, &fresh, where,
-			 &entry, sim.now);
+	m.n = fatal_collect_gossip(&sim.f[entry], m.rows, FATAL_MAX_GOSSIP,
+				   &fresh, where, &entry, sim.now);
 	for (to = 0; m.n && to < sim.s.entries; to++) {
 		if (to == entry || sim.nr_mail == MAX_MAIL ||
 		    sim.s.twin == TELLS_NOBODY ||
@@ -571,8 +578,8 @@
 			i++;
 			continue;
 		}
-		fatal_heard(&sim.f[m->to], (uint64_t)m->from + 1, m->rows, m->n,
-			    sim.now);
+		fatal_merge_gossip(&sim.f[m->to], (uint64_t)m->from + 1,
+				   m->rows, m->n, sim.now);
 		sim.mail[i] = sim.mail[--sim.nr_mail];
 	}
 }
@@ -594,9 +601,9 @@
 	fatal_init(&sim.f[entry], &sim_vtable, &sim.f[entry]);
 	for (i = 0; i < GUILTY; i++) {
 		if (sim.record_ms[i] && sim.now >= sim.record_ms[i])
-			fatal_recorded(&sim.f[entry],
-				       (struct hsh_wide){ 1, (uint64_t)i }, 1,
-				       sim.now);
+			fatal_record_found(&sim.f[entry],
+					   (struct hsh_wide){ 1, (uint64_t)i },
+					   1, sim.now);
 	}
 }
 
@@ -609,9 +616,9 @@
 		    sim.now / STEP_MS != sim.record_ms[i] / STEP_MS)
 			continue;
 		for (k = 0; k < sim.s.entries; k++)
-			fatal_recorded(&sim.f[k],
-				       (struct hsh_wide){ 1, (uint64_t)i }, 1,
-				       sim.now);
+			fatal_record_found(&sim.f[k],
+					   (struct hsh_wide){ 1, (uint64_t)i },
+					   1, sim.now);
 	}
 }
 
@@ -741,7 +748,7 @@
 	for (i = 0; i < sizeof(all) / sizeof(all[0]); i++) {
 		r = play_seeds(&all[i], seeds);
 		CU_ASSERT(r.after <= MOST_AFTER);
-		CU_ASSERT(r.ends <= r.guilty * (FATAL_ENDS + 1));
+		CU_ASSERT(r.ends <= r.guilty * (FATAL_CONVICT_CRASHES + 1));
 		CU_ASSERT(r.wrongly * INNOCENT_OF < r.asked);
 		violations += r.after > MOST_AFTER ||
 			      r.wrongly * INNOCENT_OF >= r.asked;
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -229,8 +229,8 @@
 	CU_ASSERT_EQUAL(a.deadline_ms, 12000);
 	CU_ASSERT_EQUAL(a.resume_after, -1);
 	CU_ASSERT_EQUAL(a.prompt_tokens, 17000);
-	CU_ASSERT_EQUAL(a.shared_tokens, 13300);
-	CU_ASSERT_EQUAL(a.shared_part, hsh_bytes("5c1e:9000,91bd:4300", 19, 0));
+	CU_ASSERT_EQUAL(a.prefix_tokens, 13300);
+	CU_ASSERT_EQUAL(a.prefix_hash, hsh_bytes("5c1e:9000,91bd:4300", 19, 0));
 	hparse_free(&p);
 }
 
@@ -308,12 +308,12 @@
 	      "Content-Type: text/event-stream\r\nContent-Length: 0\r\n\r\n");
 	pf_wire()->reply(&p.msg, &a, &r);
 	CU_ASSERT(r.echoed && r.sealed && r.events);
-	CU_ASSERT_FALSE(r.other || r.not_run || r.misdirected);
+	CU_ASSERT_FALSE(r.other_attempt || r.not_run || r.misdirected);
 	hparse_free(&p);
 	parse(&p, false,
 	      "HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
 	pf_wire()->reply(&p.msg, &a, &r);
-	CU_ASSERT(r.not_run && !r.other && !r.echoed);
+	CU_ASSERT(r.not_run && !r.other_attempt && !r.echoed);
 	hparse_free(&p);
 	parse(&p, false, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n");
 	pf_wire()->reply(&p.msg, &a, &r);
@@ -323,7 +323,7 @@
 	      "HTTP/1.1 200 X\r\nAttempt-Id: zz\r\n"
 	      "Content-Length: 0\r\n\r\n");
 	pf_wire()->reply(&p.msg, &a, &r);
-	CU_ASSERT(r.other && !r.echoed);
+	CU_ASSERT(r.other_attempt && !r.echoed);
 	hparse_free(&p);
 }
 
--- a/tests/test_prs.c
+++ b/tests/test_prs.c
@@ -50,11 +50,11 @@
 	str_copy(r->counts[0].account, "two", GSP_NAME);
 	r->store_era = 3;
 	r->nr_fatal = 1;
-	r->fatal[0] = (struct fatal_told){
+	r->fatal[0] = (struct fatal_gossip){
 		.content = { 7, 8 },
-		.nr_ends = 2,
-		.ends = { { 11, 1500, 150, false }, { 12, 20, 30, true } },
-		.run_at = 13,
+		.nr_crashes = 2,
+		.crashes = { { 11, 1500, 150, false }, { 12, 20, 30, true } },
+		.running_at = 13,
 	};
 }
 
@@ -83,10 +83,10 @@
 	CU_ASSERT_EQUAL(heard.nr_fatal, 1);
 	CU_ASSERT(hsh_wide_equal(heard.fatal[0].content,
 				 (struct hsh_wide){ 7, 8 }));
-	CU_ASSERT_EQUAL(heard.fatal[0].run_at, 13);
-	CU_ASSERT_EQUAL(heard.fatal[0].ends[0].age_ms, 1500);
-	CU_ASSERT_EQUAL(heard.fatal[0].ends[1].weight, 30);
-	CU_ASSERT(heard.fatal[0].ends[1].cleared);
+	CU_ASSERT_EQUAL(heard.fatal[0].running_at, 13);
+	CU_ASSERT_EQUAL(heard.fatal[0].crashes[0].age_ms, 1500);
+	CU_ASSERT_EQUAL(heard.fatal[0].crashes[1].weight, 30);
+	CU_ASSERT(heard.fatal[0].crashes[1].cleared);
 	CU_ASSERT_EQUAL(heard.nr_tallies, 1);
 	CU_ASSERT_EQUAL(heard.tallies[0].order, 21);
 	CU_ASSERT_EQUAL(heard.tallies[0].row.route, 22);
@@ -166,7 +166,7 @@
 			continue;
 		CU_ASSERT(heard.nr_counts <= GSP_COUNTS);
 		CU_ASSERT(heard.nr_services <= GSP_SERVICES);
-		CU_ASSERT(heard.nr_fatal <= FATAL_MAX_TOLD);
+		CU_ASSERT(heard.nr_fatal <= FATAL_MAX_GOSSIP);
 		CU_ASSERT(heard.nr_tallies <= GSP_TALLIES);
 		CU_ASSERT(heard.nr_rolled_back <= GSP_ROLLED_BACK);
 		CU_ASSERT(strlen(heard.name) < GSP_NAME);
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -38,7 +38,7 @@
 	take(&f, 3);
 	CU_ASSERT_EQUAL(f.tokens, 3);
 	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_END, 3, &fresh).kind, FLOW_FINISH);
-	CU_ASSERT_EQUAL(f.outcome, FLOW_WHOLE);
+	CU_ASSERT_EQUAL(f.outcome, FLOW_COMPLETED);
 	CU_ASSERT_EQUAL(f.recomputed, 0);
 }
 
--- a/tests/test_rq.c
+++ b/tests/test_rq.c
@@ -51,8 +51,8 @@
 	case RQ_NOT_RUN:
 		w->wrong |= w->ran > 0 || w->under_way || w->started;
 		break;
-	case RQ_BAD_GATE:
-	case RQ_TIME_OUT:
+	case RQ_BAD_GATEWAY:
+	case RQ_TIMED_OUT:
 		w->wrong |= w->started;
 		break;
 	case RQ_CUT:
@@ -106,9 +106,9 @@
 		w->failed = true;
 		return rq_answered(r, false, e == BAD);
 	case TIME_UP:
-		return rq_time_up(r);
+		return rq_timed_out(r);
 	case GONE:
-		return rq_gone(r);
+		return rq_caller_gone(r);
 	default:
 		return rq_no_endpoint(r);
 	}
@@ -222,7 +222,7 @@
 
 	rq_init(&r, &once);
 	rq_sent(&r);
-	CU_ASSERT_EQUAL(rq_lost(&r, true), RQ_BAD_GATE);
+	CU_ASSERT_EQUAL(rq_lost(&r, true), RQ_BAD_GATEWAY);
 }
 
 /* A refusal that says "not run" may be followed by another endpoint. */
@@ -274,10 +274,10 @@
 	struct rq r;
 
 	rq_init(&r, &once);
-	CU_ASSERT_EQUAL(rq_time_up(&r), RQ_NOT_RUN);
+	CU_ASSERT_EQUAL(rq_timed_out(&r), RQ_NOT_RUN);
 	rq_init(&r, &once);
 	rq_sent(&r);
-	CU_ASSERT_EQUAL(rq_time_up(&r), RQ_TIME_OUT);
+	CU_ASSERT_EQUAL(rq_timed_out(&r), RQ_TIMED_OUT);
 }
 
 static void stream_resumes_or_is_cut(void)
