--- a/lib/request/attempt.h
+++ b/lib/request/attempt.h
@@ -1,6 +1,6 @@
 /*
- * attempt: what a caller's request says, decoded from its head, and what an
- * endpoint's answer says.
+ * attempt: the decoded head of a client request, and that of the endpoint's
+ * response.
  */
 #ifndef ATTEMPT_H
 #define ATTEMPT_H
@@ -8,6 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* Buffer sizes in bytes, with the terminating null byte. */
 #define ATTEMPT_ID 80
 #define ATTEMPT_HOST 256
 #define ATTEMPT_KEY 256
@@ -15,36 +16,36 @@
 struct attempt {
 	char id[ATTEMPT_ID];
 	char host[ATTEMPT_HOST]; /* lower case, without port */
-	char key[ATTEMPT_KEY];	 /* of a client account; "": none */
-	int64_t deadline_ms;	 /* how long the caller waits; -1: not said */
-	int64_t resume_after;	 /* id of the last event it has; -1: none */
-	bool has_token_counts;	 /* it states its tokens */
+	char key[ATTEMPT_KEY];	 /* API key of the client account; "": none */
+	int64_t deadline_ms;	 /* remaining client timeout; -1: not given */
+	int64_t resume_after;	 /* id of the last event received; -1: none */
+	bool has_token_counts;	 /* the two counts below are given */
 	double prompt_tokens;
-	double output_tokens; /* at most */
+	double output_tokens; /* upper bound */
 	uint64_t prefix_hash; /* hash of the prompt's shared parts; 0: none */
-	double prefix_tokens; /* tokens in them */
+	double prefix_tokens; /* length of these parts */
 };
 
-/* An endpoint's answer, from its head. */
+/* The decoded head of an endpoint's response. */
 struct reply {
-	int status;
-	bool echoed;	    /* it names the attempt it answers */
-	bool other_attempt; /* it names another one: a late second answer */
-	bool not_run;	    /* it says that it did not run the request */
-	bool misdirected;   /* another endpoint has the address */
-	bool sealed;	    /* it bears the endpoint's proof */
-	bool events;	    /* a stream of events follows */
-	bool encoded;	    /* the body is not the endpoint's own bytes */
+	int status;	    /* HTTP status */
+	bool echoed;	    /* carries the id of this attempt */
+	bool other_attempt; /* carries another id: a late second response */
+	bool not_run;	    /* states that the request was not run */
+	bool misdirected;   /* the address belongs to another endpoint by now */
+	bool sealed;	    /* carries the endpoint's proof of origin */
+	bool events;	    /* the body is an event stream */
+	bool encoded;	    /* has a Content-Encoding: not the original bytes */
 };
 
-/* What is set for the endpoint, beside what the caller sent. */
+/* Headers set by the entry when it forwards an attempt to an endpoint. */
 struct forward {
 	const char *endpoint_id;
 	const char *account;  /* NULL: none */
-	int64_t deadline_ms;  /* what is left; -1: not said */
-	int urgency;	      /* 0 first .. 9; -1: not set */
-	int64_t resume_after; /* -1: as the caller said */
-	const char *copy_at; /* memory of the run, IP:PORT/HANDLE; NULL: none */
+	int64_t deadline_ms;  /* time left; -1: no deadline */
+	int urgency;	      /* 0 (highest) to 9; -1: not set */
+	int64_t resume_after; /* -1: the value of the client's request */
+	const char *copy_at;  /* KV cache copy, IP:PORT/HANDLE; NULL: none */
 };
 
 #endif
--- a/lib/request/fatal.c
+++ b/lib/request/fatal.c
@@ -5,30 +5,31 @@
 #include "request/fatal_internal.h"
 
 /*
- * Lifetime of a suspicion: a request that crashes an endpoint every few minutes
- * is found, one that met two crashes by chance is released before a third.
+ * Lifetime of a suspicion: long enough to find a request that crashes an
+ * endpoint every few minutes, short enough that one that met two crashes by
+ * chance is released before a third.
  */
 #define KEEP_SUSPECT_MS 600000
 
-/* Cleared crashes are kept, so that late gossip does not count them again. */
+/* Cleared crashes are kept so that late gossip does not count them again. */
 #define KEEP_CLEARED_MS 10000
 
-/* An endpoint that died silently is off the list within four seconds. */
-#define KEEP_DOUBT_MS 6000
+/* An endpoint that crashed silently is off the list within four seconds. */
+#define KEEP_PENDING_MS 6000
 
-/* A run elsewhere that is no longer gossiped: its entry may be dead. */
+/* A run elsewhere that is not gossiped for this long: its entry may be dead. */
 #define KEEP_RUN_MS 1500
 
 /*
  * Time constant of the rate at which requests meet a crash by chance, and the
- * length of the crash-free history assumed before it.
+ * crash-free run time that is assumed in addition to the observed one.
  */
 #define RATE_MS 30000.0
 #define RATE_PRIOR_MS 60000.0
 
-/* ---- May it be sent? ---- */
+/* ---- Decision to send ---- */
 
-static unsigned looked_at(const struct fatal_row *row)
+static unsigned count_probing(const struct fatal_row *row)
 {
 	unsigned i, n = 0;
 
@@ -49,28 +50,29 @@
 }
 
 enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh_wide content,
-				    bool under_way, int64_t now)
+				    bool in_flight, int64_t now)
 {
 	const struct fatal_row *row = fatal_find(f, content);
-	unsigned ends, looked;
+	unsigned nr_crashes, nr_probing;
 
 	if (!row)
 		return FATAL_SEND;
 	if (fatal_is_convicted(row))
 		return FATAL_QUARANTINED;
-	ends = fatal_crash_count(row);
-	looked = looked_at(row);
-	if (looked && ends + looked >= FATAL_CONVICT_CRASHES)
+	nr_crashes = fatal_crash_count(row);
+	nr_probing = count_probing(row);
+	if (nr_probing && nr_crashes + nr_probing >= FATAL_CONVICT_CRASHES)
 		return FATAL_WAIT;
-	if (ends >= FATAL_STRONG_CRASHES &&
-	    (under_way || runs_elsewhere(row, now)))
+	if (nr_crashes >= FATAL_STRONG_CRASHES &&
+	    (in_flight || runs_elsewhere(row, now)))
 		return FATAL_BUSY;
-	return ends ? FATAL_ISOLATE : FATAL_SEND;
+	return nr_crashes ? FATAL_ISOLATE : FATAL_SEND;
 }
 
-/* ---- Ends ---- */
+/* ---- Crashes ---- */
 
-static struct fatal_pending *doubt_at(struct fatal_row *row, uint64_t endpoint)
+static struct fatal_pending *pending_at(struct fatal_row *row,
+					uint64_t endpoint)
 {
 	unsigned i;
 
@@ -81,21 +83,21 @@
 	return NULL;
 }
 
-static void drop_doubt(struct fatal_row *row, struct fatal_pending *d)
+static void drop_pending(struct fatal_row *row, struct fatal_pending *d)
 {
 	*d = row->pending[--row->nr_pending];
 }
 
 struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh_wide content,
 				   uint64_t endpoint, int64_t ran_ms,
-				   bool looking, int64_t now)
+				   bool probing, int64_t now)
 {
 	struct fatal_row *row = fatal_get(f, content, now);
 
-	if (!doubt_at(row, endpoint) && row->nr_pending < FATAL_MAX_PENDING)
+	if (!pending_at(row, endpoint) && row->nr_pending < FATAL_MAX_PENDING)
 		row->pending[row->nr_pending++] =
 			(struct fatal_pending){ endpoint, now, ran_ms,
-						looking };
+						probing };
 	return row;
 }
 
@@ -107,42 +109,43 @@
 		if (row->runs[i].endpoint == endpoint)
 			return true;
 	}
-	return doubt_at(row, endpoint) || fatal_crash_at(row, endpoint);
+	return pending_at(row, endpoint) || fatal_crash_at(row, endpoint);
 }
 
-/* Ends held against it but for that at this endpoint. */
-static unsigned ends_elsewhere(struct fatal_row *row, uint64_t endpoint)
+/* The row's crash count without the crash at this endpoint. */
+static unsigned crashes_elsewhere(struct fatal_row *row, uint64_t endpoint)
 {
 	const struct fatal_crash *e = fatal_crash_at(row, endpoint);
 
 	return fatal_crash_count(row) - (e && !e->cleared);
 }
 
-/* Whom an end is laid to: the most that was held against any one there. */
-struct blame {
-	unsigned most;
-	unsigned tied; /* so many have that */
+/* The highest crash count among the requests that ran at an endpoint. */
+struct suspicion {
+	unsigned max_crashes;
+	unsigned tied; /* number of requests that have it */
 };
 
-static struct blame blame_at(struct fatal *f, uint64_t endpoint)
+static struct suspicion strongest_suspicion(struct fatal *f, uint64_t endpoint)
 {
-	struct blame b = { 0, 0 };
+	struct suspicion b = { 0, 0 };
 	struct fatal_row *row;
 	unsigned n;
 
 	cds_list_for_each_entry(row, &f->rows, node) {
 		if (!ran_at(row, endpoint))
 			continue;
-		n = ends_elsewhere(row, endpoint);
-		if (n > b.most)
-			b = (struct blame){ n, 0 };
-		b.tied += n == b.most;
+		n = crashes_elsewhere(row, endpoint);
+		if (n > b.max_crashes)
+			b = (struct suspicion){ n, 0 };
+		b.tied += n == b.max_crashes;
 	}
 	return b;
 }
 
-/* How unlikely it is that a send meets an end by chance within that time. */
-static unsigned weight_of(const struct fatal *f, int64_t ran_ms, int64_t now)
+/* Weight of a crash that a send met after `ran_ms`, by the rate of chance. */
+static unsigned chance_weight(const struct fatal *f, int64_t ran_ms,
+			      int64_t now)
 {
 	const double per_ms =
 		fade_at(&f->crashed_sends, RATE_MS, now) /
@@ -162,52 +165,57 @@
 }
 
 /*
- * While little is held against any one that was there, the end weighs fully
- * against all. Once there is a strong suspect it does against that one alone,
- * and little against the others; of two, which run apart as far as there is
- * room, nobody knows which.
+ * True if the crash weighs little for this request. Without a strong suspect at
+ * the endpoint the crash has its full weight for all requests. With one it has
+ * its full weight for the strong suspect only. With two or more, which share an
+ * endpoint only if there is no room to isolate them, it weighs little for each,
+ * as it is unknown which of them caused it.
  */
 static bool is_shared(struct fatal_row *row, uint64_t endpoint,
-		      const struct blame *b)
+		      const struct suspicion *b)
 {
-	return b->most >= FATAL_STRONG_CRASHES &&
-	       (b->tied > 1 || ends_elsewhere(row, endpoint) < b->most);
+	return b->max_crashes >= FATAL_STRONG_CRASHES &&
+	       (b->tied > 1 ||
+		crashes_elsewhere(row, endpoint) < b->max_crashes);
 }
 
-/* The rows that were in doubt for this endpoint have an end more. */
-static void blame(struct fatal *f, uint64_t endpoint, int64_t now,
-		  struct cds_list_head *guilty)
+/*
+ * Turns the pending sends at this endpoint into crashes, and moves the rows
+ * that got one to the list `suspects`.
+ */
+static void attribute_crash(struct fatal *f, uint64_t endpoint, int64_t now,
+			    struct cds_list_head *suspects)
 {
-	const struct blame b = blame_at(f, endpoint);
+	const struct suspicion b = strongest_suspicion(f, endpoint);
 	struct fatal_row *row, *next;
 	struct fatal_pending *d;
 	unsigned weight;
 
 	cds_list_for_each_entry_safe(row, next, &f->rows, node) {
-		d = doubt_at(row, endpoint);
+		d = pending_at(row, endpoint);
 		if (!d)
 			continue;
 		weight = is_shared(row, endpoint, &b)
 				 ? FATAL_WEIGHT_SHARED
-				 : weight_of(f, d->ran_ms, now);
-		if (b.most < FATAL_STRONG_CRASHES)
+				 : chance_weight(f, d->ran_ms, now);
+		if (b.max_crashes < FATAL_STRONG_CRASHES)
 			fade_add(&f->crashed_sends, 1, RATE_MS, now);
-		drop_doubt(row, d);
+		drop_pending(row, d);
 		row->was_convicted = fatal_is_convicted(row);
 		if (!fatal_add_crash(f, row, endpoint, weight, now))
 			continue;
 		cds_list_del(&row->node);
-		cds_list_add_tail(&row->node, guilty);
+		cds_list_add_tail(&row->node, suspects);
 	}
 }
 
 void fatal_endpoint_crashed(struct fatal *f, uint64_t endpoint, int64_t now)
 {
 	struct fatal_row *row, *next;
-	CDS_LIST_HEAD(guilty);
+	CDS_LIST_HEAD(suspects);
 
-	blame(f, endpoint, now, &guilty);
-	cds_list_for_each_entry_safe(row, next, &guilty, node) {
+	attribute_crash(f, endpoint, now, &suspects);
+	cds_list_for_each_entry_safe(row, next, &suspects, node) {
 		fatal_touch(f, row, now);
 		fatal_report_crash(f, row, row->was_convicted, endpoint);
 		if (fatal_is_convicted(row))
@@ -221,10 +229,10 @@
 	struct fatal_pending *d;
 
 	cds_list_for_each_entry_safe(row, next, &f->rows, node) {
-		d = doubt_at(row, endpoint);
+		d = pending_at(row, endpoint);
 		if (!d)
 			continue;
-		drop_doubt(row, d);
+		drop_pending(row, d);
 		if (fatal_empty(row))
 			fatal_drop(f, row);
 	}
@@ -236,7 +244,7 @@
 	struct fatal_pending *d;
 
 	cds_list_for_each_entry(row, &f->rows, node) {
-		d = doubt_at(row, endpoint);
+		d = pending_at(row, endpoint);
 		if (d)
 			d->probing = false;
 	}
@@ -268,18 +276,18 @@
 		fatal_drop(f, row);
 }
 
-/* ---- What lasts ---- */
+/* ---- Records and expiry ---- */
 
 void fatal_record_found(struct fatal *f, struct hsh_wide content,
-			int64_t true_ms, int64_t now)
+			int64_t wall_ms, int64_t now)
 {
 	struct fatal_row *row = fatal_get(f, content, now);
-	const bool known = fatal_is_convicted(row);
+	const bool was_convicted = fatal_is_convicted(row);
 
-	row->recorded_wall_ms = true_ms > 0 ? true_ms : 1;
+	row->recorded_wall_ms = wall_ms > 0 ? wall_ms : 1;
 	row->record_lost = false;
 	fatal_touch(f, row, now);
-	if (!known)
+	if (!was_convicted)
 		fatal_report_crash(f, row, false, 0);
 }
 
@@ -303,24 +311,24 @@
 		fatal_drop(f, row);
 }
 
-static void expire_doubts(struct fatal_row *row, int64_t now)
+static void expire_pending(struct fatal_row *row, int64_t now)
 {
 	unsigned i = 0;
 
 	while (i < row->nr_pending) {
-		if (now - row->pending[i].at_ms > KEEP_DOUBT_MS)
-			drop_doubt(row, &row->pending[i]);
+		if (now - row->pending[i].at_ms > KEEP_PENDING_MS)
+			drop_pending(row, &row->pending[i]);
 		else
 			i++;
 	}
 }
 
-static bool outlived(const struct fatal_row *row, int64_t now)
+static bool is_expired(const struct fatal_row *row, int64_t now)
 {
 	const int64_t age = now - row->changed_ms;
 
 	if (row->recorded_wall_ms)
-		return false; /* as long as its record */
+		return false; /* kept as long as its record */
 	if (fatal_empty(row))
 		return true;
 	if (!fatal_crash_count(row))
@@ -334,8 +342,8 @@
 	struct fatal_row *row, *next;
 
 	cds_list_for_each_entry_safe(row, next, &f->rows, node) {
-		expire_doubts(row, now);
-		if (outlived(row, now))
+		expire_pending(row, now);
+		if (is_expired(row, now))
 			fatal_drop(f, row);
 	}
 }
--- a/lib/request/fatal.h
+++ b/lib/request/fatal.h
@@ -1,19 +1,21 @@
 /*
- * fatal: finds poison requests, which crash the endpoint that runs them, among
- * those that merely ran there.
+ * fatal: detection of fatal (poison) requests, which crash the endpoint that
+ * runs them, as opposed to requests that merely ran there at that time.
  *
- * A retry comes under a new id and at any entry, so neither an attempt nor an
- * entry sees that it is the third endpoint that crashed. Crashes are therefore
- * counted by content, and gossiped as a set: sets can be merged in any order,
- * any number of times. Otherwise one request would crash endpoint after
- * endpoint, each with everything that runs there.
+ * A client retries under a new id and at any entry, so neither an attempt nor
+ * an entry sees that it is the third endpoint that crashed. Crashes are
+ * therefore counted by content, and gossiped as a set: sets can be merged in
+ * any order, any number of times. Without this, one request would crash
+ * endpoint after endpoint, and each crash would abort all other requests that
+ * run there.
  *
  * A crash counts against all requests that were running on the endpoint, unless
- * one of them is more suspect. It weighs the more, the less likely a request of
- * that length was to meet one by chance. A whole answer clears a request. A
- * convicted request is quarantined, and explains the crashes of others. A
- * suspect runs apart from others, and after FATAL_CONVICT_CRASHES - 1 crashes one at a
- * time, so that the last crash takes no other request along.
+ * one of them is more suspect. Its weight grows as the probability shrinks that
+ * a request of that duration meets a crash by chance. A complete answer clears
+ * a request. A convicted request is quarantined, and explains the crashes of
+ * others. A suspect runs isolated from others, and after
+ * FATAL_STRONG_CRASHES crashes one at a time, so that the last crash aborts no
+ * other request.
  */
 #ifndef FATAL_H
 #define FATAL_H
@@ -27,195 +29,217 @@
 #include "base/tab.h"
 
 /*
- * Crashes that convict if none of them is likely to be chance, and those that
- * convict in any case, also while endpoints crash all the time.
+ * Number of crashes that convict a request if each of them is unlikely to be
+ * chance, and the number that convicts in any case, also while endpoints crash
+ * all the time.
  */
 #define FATAL_CONVICT_CRASHES 3
 #define FATAL_CONVICT_ALWAYS_CRASHES 5
 
 /*
- * Crashes from which on a suspect runs one at a time in all entries, on an
- * endpoint that other requests avoid.
+ * Number of crashes that makes a request a strong suspect: it then runs one at
+ * a time across all entries, on an endpoint that other requests avoid.
  */
 #define FATAL_STRONG_CRASHES (FATAL_CONVICT_CRASHES - 1)
 
-/* Crashes kept of a request; its runs elsewhere; endpoints being probed. */
+/*
+ * Per request: crashes kept, runs at other entries, and endpoints whose crash
+ * is not confirmed yet.
+ */
 #define FATAL_MAX_CRASHES 6
 #define FATAL_MAX_RUNS 8
 #define FATAL_MAX_PENDING 4
 
-/* Contents kept: callers can send any number of them. */
+/* Contents kept. Bounded because callers can send any number of them. */
 #define FATAL_MAX_ROWS 512
 
-/* Quarantine lasts this long after the last crash unless released. */
+/* Duration of the quarantine after the last crash, unless released before. */
 #define FATAL_KEEP_MS 3600000
 
-/* Rows in one datagram. */
+/* Rows in one gossip datagram. */
 #define FATAL_MAX_GOSSIP 16
 
+/* Size of route and account names in bytes, with the null byte. */
 #define FATAL_NAME 64
 
 struct fatal_crash {
-	uint64_t endpoint; /* hash, as other entries know it */
+	uint64_t endpoint; /* hash, the same at all entries */
 	int64_t at_ms;
-	unsigned
-		weight; /* against chance, as the logarithm of one in so many */
-	bool cleared; /* a whole answer came since, or an operator lifted it */
+	unsigned weight; /* -100 * log10 of the probability of chance */
+	bool cleared;	 /* by a later complete answer or by an operator */
 };
 
-/* A send broke off at this endpoint, and it may have ended. */
+/* A send that broke off at an endpoint that may have crashed. */
 struct fatal_pending {
 	uint64_t endpoint;
 	int64_t at_ms;
-	int64_t ran_ms; /* so long it had been under way */
-	bool probing;	/* it will be known in a moment */
+	int64_t ran_ms; /* duration of the send until it broke off */
+	bool probing;	/* a probe is in flight; its result comes shortly */
 };
 
-/* Another entry has it under way. */
+/* A run of the content at another entry. */
 struct fatal_run {
-	uint64_t entry, endpoint;
-	int64_t updated_ms;
+	uint64_t entry, endpoint; /* hashes */
+	int64_t updated_ms;	  /* last gossip about it */
 };
 
+/* All that is known of one content. */
 struct fatal_row {
 	struct cds_list_head node; /* in fatal.rows, the last changed last */
 	UT_hash_handle by_content;
-	struct hsh_wide content;
+	struct hsh_wide content; /* hash of the request's content */
 	char route[FATAL_NAME], account[FATAL_NAME]; /* "": not known here */
 	struct fatal_crash crashes[FATAL_MAX_CRASHES];
-	bool was_convicted; /* convicted before the end that is being told */
+	bool was_convicted; /* before the crash that is being reported */
 	struct fatal_pending pending[FATAL_MAX_PENDING];
 	struct fatal_run runs[FATAL_MAX_RUNS];
 	unsigned nr_crashes, nr_pending, nr_runs;
 	int64_t changed_ms;
-	int64_t recorded_wall_ms; /* when the store's record says; 0: no record */
-	int64_t store_next_ms;	  /* not written before */
-	bool record_lost; /* the store lost the record: it is to be written again */
+	int64_t recorded_wall_ms; /* wall clock of the record; 0: no record */
+	int64_t store_next_ms;	  /* earliest next write of the record */
+	bool record_lost; /* the store lost the record; write it again */
 };
 
 enum fatal_change {
-	FATAL_SUSPECTED, /* an end more, not enough of them yet */
-	FATAL_CONVICTED,
-	FATAL_CRASHED_AGAIN, /* an end of one that was convicted before */
-	FATAL_EXPLAINED,     /* an end that is laid to another request */
+	FATAL_SUSPECTED,     /* one more crash, not enough to convict */
+	FATAL_CONVICTED,     /* by one more crash or by a stored record */
+	FATAL_CRASHED_AGAIN, /* a crash of a request convicted before */
+	FATAL_EXPLAINED,     /* a crash was attributed to another request */
 	FATAL_CLEARED,
 };
 
 struct fatal;
 
 struct fatal_vtable {
-	/* `endpoint`: of the end; 0: the news is of all ends. */
+	/*
+	 * Called on each change of a row. `endpoint` is the one that crashed;
+	 * 0: the change does not come from a crash observed here.
+	 */
 	void (*changed)(void *arg, const struct fatal_row *row,
-			enum fatal_change news, uint64_t endpoint);
+			enum fatal_change change, uint64_t endpoint);
 };
 
 struct fatal {
 	const struct fatal_vtable *vt;
-	void *arg;
+	void *arg; /* passed to the callbacks */
 	struct cds_list_head rows;
-	struct fatal_row *table;
-	unsigned count;
-	struct fade
-		crashed_sends; /* sends that met an end without a strong suspect */
-	struct fade ran_ms;    /* time in which sends were under way */
-	unsigned next_in_turn; /* of the rows that are told in turn */
+	struct fatal_row *table;   /* by content */
+	unsigned count;		   /* rows */
+	struct fade crashed_sends; /* sends met by a crash that has no strong
+				      suspect */
+	struct fade ran_ms;	   /* total duration of all sends */
+	unsigned next_in_turn;	   /* next row to gossip in rotation */
 };
 
+/* `vt` and `arg` must stay valid until fatal_free(). */
 void fatal_init(struct fatal *f, const struct fatal_vtable *vt, void *arg);
 void fatal_free(struct fatal *f);
 
-/* NULL: nothing is known of this content. */
+/* Returns the row, owned by `f`, or NULL if nothing is known of the content. */
 struct fatal_row *fatal_find(struct fatal *f, struct hsh_wide content);
 
-/* Ends that are held against it. */
+/* Number of crashes that count against the request (not cleared). */
 unsigned fatal_crash_count(const struct fatal_row *row);
 
+/* True if the request is quarantined. */
 bool fatal_is_convicted(const struct fatal_row *row);
 
-/* May it be sent? */
 enum fatal_verdict {
-	FATAL_SEND,
-	FATAL_ISOLATE, /* suspected: to an endpoint where it harms nobody */
-	FATAL_WAIT, /* it is guilty if an endpoint has ended that is looked at */
-	FATAL_BUSY,	   /* suspected, and under way already */
-	FATAL_QUARANTINED, /* convicted */
+	FATAL_SEND,	   /* without restriction */
+	FATAL_ISOLATE,	   /* suspect: send to an endpoint with few others */
+	FATAL_WAIT,	   /* convicted if the endpoints being probed crashed */
+	FATAL_BUSY,	   /* strong suspect, and in flight already */
+	FATAL_QUARANTINED, /* convicted: do not send */
 };
 
-/* `under_way`: another attempt of this entry with this content is. */
+/*
+ * Decides whether a request may be sent. `in_flight`: another attempt of this
+ * entry with the same content is at an endpoint.
+ */
 enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh_wide content,
-				    bool under_way, int64_t now_ms);
+				    bool in_flight, int64_t now_ms);
 
 /*
- * A send of it broke off, after `ran_ms`, at an endpoint that is not known to
- * leave. `looking`: fatal_endpoint_crashed, fatal_endpoint_alive or fatal_endpoint_silent follows.
+ * Notes that a send broke off after `ran_ms` at an endpoint that has not
+ * announced its shutdown. With `probing`, a call of fatal_endpoint_crashed(),
+ * fatal_endpoint_alive() or fatal_endpoint_silent() must follow. Returns the
+ * content's row, owned by `f`, made if there was none.
  */
 struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh_wide content,
 				   uint64_t endpoint, int64_t ran_ms,
-				   bool looking, int64_t now_ms);
+				   bool probing, int64_t now_ms);
 
-/* A send, of whatever content, is over that was under way for so long. */
+/*
+ * Adds the duration of a send that is over, of any content. The rate of crashes
+ * by chance is relative to the sum of these.
+ */
 void fatal_add_run_time(struct fatal *f, int64_t ran_ms, int64_t now_ms);
 
 /*
- * The endpoint has ended, and had not said that it would: what broke off there
- * may be guilty.
+ * The endpoint ended without announcing it: a crash counts against the requests
+ * whose sends broke off there.
  */
 void fatal_endpoint_crashed(struct fatal *f, uint64_t endpoint, int64_t now_ms);
 
-/* It lives: the connection broke for another reason. */
+/* The endpoint is alive: its connections broke for another reason. */
 void fatal_endpoint_alive(struct fatal *f, uint64_t endpoint);
 
-/* It gives no answer: the list will tell within some seconds. */
+/*
+ * The probe got no response: the endpoint list will show within some seconds
+ * whether the endpoint crashed.
+ */
 void fatal_endpoint_silent(struct fatal *f, uint64_t endpoint);
 
-/* A whole answer to it came. */
+/* A complete answer to the content arrived: clears it. */
 void fatal_answer_complete(struct fatal *f, struct hsh_wide content,
 			   int64_t now_ms);
 
-/* ---- What entries tell each other ---- */
+/* ---- Gossip between entries ---- */
 
+/* A row as it is gossiped. */
 struct fatal_gossip {
 	struct hsh_wide content;
 	unsigned nr_crashes;
 	struct {
 		uint64_t endpoint;
-		uint32_t age_ms; /* since it was seen */
+		uint32_t age_ms; /* time since the crash was observed */
 		uint32_t weight;
 		bool cleared;
 	} crashes[FATAL_MAX_CRASHES];
-	uint64_t running_at; /* endpoint where the teller has it under way; 0 */
+	uint64_t running_at; /* endpoint where the sender runs it; 0: none */
 };
 
-/* Where this entry has the content under way; 0: nowhere. */
+/* Returns the endpoint at which this entry runs the content; 0: none. */
 typedef uint64_t (*fatal_running_at)(void *arg, struct hsh_wide content);
 
 /*
- * Fills `out` with at most `max` rows: first those that are news to others,
- * of which *fresh gets the number, then others in turn.
+ * Fills `out` with at most `max` rows: first those that changed recently or run
+ * here, whose number is stored in *fresh, then the others in rotation. Returns
+ * the number of rows.
  */
 unsigned fatal_collect_gossip(struct fatal *f, struct fatal_gossip *out,
 			      unsigned max, unsigned *fresh,
-			      fatal_running_at run_at, void *arg,
+			      fatal_running_at running_at, void *arg,
 			      int64_t now_ms);
 
-/* Another entry, known by a hash, told this. */
+/* Merges `n` rows received from another entry; `entry` is the latter's hash. */
 void fatal_merge_gossip(struct fatal *f, uint64_t entry,
-			const struct fatal_gossip *told, unsigned n,
+			const struct fatal_gossip *rows, unsigned n,
 			int64_t now_ms);
 
-/* ---- What lasts ---- */
+/* ---- Quarantine records in the store ---- */
 
-/* The store has a record of the conviction, made at that time of day. */
+/* The store has a record of the conviction, made at `wall_ms` (wall clock). */
 void fatal_record_found(struct fatal *f, struct hsh_wide content,
-			int64_t true_ms, int64_t now_ms);
+			int64_t wall_ms, int64_t now_ms);
 
 /* The store lost the record; the conviction stands. */
 void fatal_record_lost(struct fatal *f, struct hsh_wide content);
 
-/* The record was taken out of the store: the request may be sent again. */
+/* The record was deleted from the store: ends the quarantine. */
 void fatal_release(struct fatal *f, struct hsh_wide content, int64_t now_ms);
 
-/* Forgets what is too old to matter. */
+/* Drops rows and pending crashes past their lifetime. */
 void fatal_expire(struct fatal *f, int64_t now_ms);
 
 #endif
--- a/lib/request/fatal_gossip.c
+++ b/lib/request/fatal_gossip.c
@@ -1,19 +1,19 @@
-/* What entries tell each other of requests that end endpoints. */
+/* The gossip between entries about requests that crash endpoints. */
 #include <string.h>
 
 #include "request/fatal_internal.h"
 
-/* A change is told in each round for so long. */
+/* A change is gossiped in each round for this long. */
 #define FRESH_MS 3000
 
-static void tell_row(const struct fatal_row *row, uint64_t run_at,
+static void fill_row(const struct fatal_row *row, uint64_t running_at,
 		     struct fatal_gossip *out, int64_t now)
 {
 	unsigned i;
 
 	memset(out, 0, sizeof(*out));
 	out->content = row->content;
-	out->running_at = run_at;
+	out->running_at = running_at;
 	out->nr_crashes = row->nr_crashes;
 	for (i = 0; i < row->nr_crashes; i++) {
 		out->crashes[i].endpoint = row->crashes[i].endpoint;
@@ -24,9 +24,9 @@
 	}
 }
 
-/* Every row that has ends, in turn, while there is room. */
-static unsigned tell_in_turn(struct fatal *f, struct fatal_gossip *out,
-			     unsigned max, int64_t now)
+/* Adds the other rows that have crashes, in rotation, up to `max`. */
+static unsigned collect_in_turn(struct fatal *f, struct fatal_gossip *out,
+				unsigned max, int64_t now)
 {
 	const struct fatal_row *row;
 	unsigned i = 0, n = 0;
@@ -39,7 +39,7 @@
 			continue;
 		if (n == max)
 			return n;
-		tell_row(row, 0, &out[n++], now);
+		fill_row(row, 0, &out[n++], now);
 		f->next_in_turn = i;
 	}
 	f->next_in_turn = 0;
@@ -48,7 +48,8 @@
 
 unsigned fatal_collect_gossip(struct fatal *f, struct fatal_gossip *out,
 			      unsigned max, unsigned *fresh,
-			      fatal_running_at run_at, void *arg, int64_t now)
+			      fatal_running_at running_at, void *arg,
+			      int64_t now)
 {
 	const struct fatal_row *row;
 	unsigned n = 0;
@@ -58,16 +59,16 @@
 	{
 		if (!row->nr_crashes || n == max)
 			continue;
-		at = fatal_crash_count(row) ? run_at(arg, row->content) : 0;
+		at = fatal_crash_count(row) ? running_at(arg, row->content) : 0;
 		if (at || now - row->changed_ms < FRESH_MS)
-			tell_row(row, at, &out[n++], now);
+			fill_row(row, at, &out[n++], now);
 	}
 	*fresh = n;
-	return n + tell_in_turn(f, out + n, max - n, now);
+	return n + collect_in_turn(f, out + n, max - n, now);
 }
 
-static void hear_run(struct fatal_row *row, uint64_t entry, uint64_t endpoint,
-		     int64_t now)
+static void update_run(struct fatal_row *row, uint64_t entry, uint64_t endpoint,
+		       int64_t now)
 {
 	unsigned i, at = row->nr_runs;
 
@@ -87,35 +88,35 @@
 	row->runs[at] = (struct fatal_run){ entry, endpoint, now };
 }
 
-/* What one told row adds. */
-static void join(struct fatal *f, struct fatal_row *row,
-		 const struct fatal_gossip *told, int64_t now)
+/* Merges a received row into `row`. */
+static void merge_row(struct fatal *f, struct fatal_row *row,
+		      const struct fatal_gossip *received, int64_t now)
 {
 	const unsigned before = fatal_crash_count(row);
-	const bool known = fatal_is_convicted(row);
-	bool news = false;
+	const bool was_convicted = fatal_is_convicted(row);
+	bool is_news = false;
 	unsigned i, after;
 
-	for (i = 0; i < told->nr_crashes; i++) {
-		const uint64_t endpoint = told->crashes[i].endpoint;
+	for (i = 0; i < received->nr_crashes; i++) {
+		const uint64_t endpoint = received->crashes[i].endpoint;
 		struct fatal_crash *e;
 
-		news |= fatal_add_crash(f, row, endpoint,
-					told->crashes[i].weight,
-					now - told->crashes[i].age_ms);
+		is_news |= fatal_add_crash(f, row, endpoint,
+					   received->crashes[i].weight,
+					   now - received->crashes[i].age_ms);
 		e = fatal_crash_at(row, endpoint);
 		if (!e)
 			continue;
-		news |= fatal_lower_weight(e, told->crashes[i].weight);
-		news |= told->crashes[i].cleared && !e->cleared;
-		e->cleared |= told->crashes[i].cleared;
+		is_news |= fatal_lower_weight(e, received->crashes[i].weight);
+		is_news |= received->crashes[i].cleared && !e->cleared;
+		e->cleared |= received->crashes[i].cleared;
 	}
-	if (!news)
+	if (!is_news)
 		return;
 	fatal_touch(f, row, now);
 	after = fatal_crash_count(row);
 	if (after > before)
-		fatal_report_crash(f, row, known, 0);
+		fatal_report_crash(f, row, was_convicted, 0);
 	if (after > before && fatal_is_convicted(row))
 		fatal_explain_others(f, row, now);
 	else if (before && !after)
@@ -123,17 +124,17 @@
 }
 
 void fatal_merge_gossip(struct fatal *f, uint64_t entry,
-			const struct fatal_gossip *told, unsigned n,
+			const struct fatal_gossip *received, unsigned n,
 			int64_t now)
 {
 	struct fatal_row *row;
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		if (!told[i].nr_crashes)
+		if (!received[i].nr_crashes)
 			continue;
-		row = fatal_get(f, told[i].content, now);
-		join(f, row, &told[i], now);
-		hear_run(row, entry, told[i].running_at, now);
+		row = fatal_get(f, received[i].content, now);
+		merge_row(f, row, &received[i], now);
+		update_run(row, entry, received[i].running_at, now);
 	}
 }
--- a/lib/request/fatal_internal.h
+++ b/lib/request/fatal_internal.h
@@ -1,6 +1,6 @@
 /*
- * What the parts of fatal share: its rows (fatal_rows.c), what is told between
- * entries (fatal_gossip.c), and what follows from an end (fatal.c).
+ * Internals that the parts of fatal share: the rows (fatal_rows.c), the gossip
+ * (fatal_gossip.c), and the attribution of crashes (fatal.c).
  */
 #ifndef FATAL_INTERNAL_H
 #define FATAL_INTERNAL_H
@@ -8,50 +8,59 @@
 #include "request/fatal.h"
 
 /*
- * Weights are hundredths of a power of ten of the chance. An end weighs at
- * most one in a hundred, and one that may be another suspect's little. One in
- * a million convicts: of all requests that met three ends by chance, one in
- * ten thousand has three as unlikely as that.
+ * A weight is -100 * log10(p), where p is the probability that the request met
+ * the crash by chance. One crash weighs at most as much as p = 1 %, and little
+ * if another suspect may have caused it. A total of p = 10^-6 convicts: of all
+ * requests that met three crashes by chance, one in ten thousand has three as
+ * unlikely as that.
  */
 #define FATAL_MAX_WEIGHT 200
 #define FATAL_WEIGHT_SHARED 30
 #define FATAL_CONVICT_WEIGHT 600
 
-/* The row of a content, made on first use. */
+/*
+ * Returns the content's row, owned by `f`; made if there is none. At the limit
+ * this drops another row.
+ */
 struct fatal_row *fatal_get(struct fatal *f, struct hsh_wide content,
 			    int64_t now_ms);
+
+/* Removes and frees the row. */
 void fatal_drop(struct fatal *f, struct fatal_row *row);
 
-/* The row has changed: it is told, and the last one to be pushed out. */
+/* Marks the row as changed: it is gossiped, and evicted last. */
 void fatal_touch(struct fatal *f, struct fatal_row *row, int64_t now_ms);
 
-/* True if nothing is known of it that matters. */
+/* True if the row has no crashes, no pending ones and no record. */
 bool fatal_empty(const struct fatal_row *row);
 
-/* NULL: that endpoint is none of its ends. */
+/* The row's crash at that endpoint, or NULL. */
 struct fatal_crash *fatal_crash_at(struct fatal_row *row, uint64_t endpoint);
 
-/* False if it has this end already, or no room for it. */
+/* Returns false if the row has this crash already, or no room for it. */
 bool fatal_add_crash(struct fatal *f, struct fatal_row *row, uint64_t endpoint,
 		     unsigned weight, int64_t at_ms);
 
 /*
- * An end never weighs more again: whatever is told twice, or late, is joined.
- * True if it weighed more.
+ * Lowers the crash's weight to `weight`. A weight never rises, so that gossip
+ * can be merged repeatedly and late. Returns true if it was higher.
  */
 bool fatal_lower_weight(struct fatal_crash *e, unsigned weight);
 
 /*
- * One is convicted: its ends weigh little against those that were there, too.
- * Else who met three requests of this kind, one after the other, would pass
- * for a fourth. They do not count for nothing: two that are guilty would clear
- * each other again and again.
+ * Once `by` is convicted, its crashes weigh little for the other requests that
+ * were there. Otherwise a request that met three poison requests, one after
+ * the other, would be taken for a fourth. They still weigh something: two
+ * poison requests would otherwise clear each other again and again.
  */
 void fatal_explain_others(struct fatal *f, struct fatal_row *by,
 			  int64_t now_ms);
 
-/* Tells of an end more. `known`: it was convicted before. */
+/*
+ * Reports one more crash to the callback. `was_convicted`: the
+ * request was convicted before it.
+ */
 void fatal_report_crash(struct fatal *f, const struct fatal_row *row,
-			bool known, uint64_t endpoint);
+			bool was_convicted, uint64_t endpoint);
 
 #endif
--- a/lib/request/fatal_rows.c
+++ b/lib/request/fatal_rows.c
@@ -1,4 +1,4 @@
-/* The rows: contents, their ends, and how much these weigh. */
+/* The rows: contents, their crashes and the weights of these. */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -15,7 +15,7 @@
 
 /* ---- Rows ---- */
 
-/* uthash's macros count as fifty statements of ours. */
+/* uthash's macros expand to about fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
 struct fatal_row *fatal_find(struct fatal *f, struct hsh_wide content)
 {
@@ -67,10 +67,10 @@
 }
 
 /*
- * Room for a row: callers can invent contents, and must not push out what is
- * proved by those that are merely new.
+ * Evicts the least recently changed row, convicted ones last: callers can send
+ * any number of new contents, which must not evict proven ones.
  */
-static void make_room(struct fatal *f)
+static void evict_row(struct fatal *f)
 {
 	struct fatal_row *row;
 
@@ -92,7 +92,7 @@
 	if (row)
 		return row;
 	if (f->count == FATAL_MAX_ROWS)
-		make_room(f);
+		evict_row(f);
 	row = calloc(1, sizeof(*row));
 	assert(row);
 	row->content = content;
@@ -103,7 +103,7 @@
 	return row;
 }
 
-/* The list is in the order of changes but for what was only explained. */
+/* The list is in the order of changes, except for fatal_explain_others(). */
 void fatal_touch(struct fatal *f, struct fatal_row *row, int64_t now)
 {
 	row->changed_ms = now;
@@ -135,7 +135,7 @@
 	return true;
 }
 
-/* True if another one was convicted by the end of this endpoint, too. */
+/* True if a convicted request has a crash at this endpoint, too. */
 static bool is_explained(struct fatal *f, const struct fatal_row *row,
 			 uint64_t endpoint)
 {
@@ -149,8 +149,8 @@
 	return false;
 }
 
-/* Room for an end, if need be that of the oldest one which does not count. */
-static struct fatal_crash *room_for_end(struct fatal_row *row)
+/* A free slot, if need be that of the oldest cleared crash; NULL: none. */
+static struct fatal_crash *crash_slot(struct fatal_row *row)
 {
 	unsigned i;
 
@@ -173,7 +173,7 @@
 
 	if (fatal_crash_at(row, endpoint))
 		return false;
-	e = room_for_end(row);
+	e = crash_slot(row);
 	if (!e)
 		return false;
 	*e = (struct fatal_crash){
@@ -209,13 +209,13 @@
 }
 
 void fatal_report_crash(struct fatal *f, const struct fatal_row *row,
-			bool known, uint64_t endpoint)
+			bool was_convicted, uint64_t endpoint)
 {
-	enum fatal_change news = FATAL_SUSPECTED;
+	enum fatal_change change = FATAL_SUSPECTED;
 
-	if (known)
-		news = FATAL_CRASHED_AGAIN;
+	if (was_convicted)
+		change = FATAL_CRASHED_AGAIN;
 	else if (fatal_is_convicted(row))
-		news = FATAL_CONVICTED;
-	f->vt->changed(f->arg, row, news, endpoint);
+		change = FATAL_CONVICTED;
+	f->vt->changed(f->arg, row, change, endpoint);
 }
--- a/lib/request/flow.c
+++ b/lib/request/flow.c
@@ -5,11 +5,14 @@
 
 #include "base/hsh.h"
 
-/* Retries start here and double, with jitter of the same size. */
+/*
+ * Backoff of retries: doubles for each attempt up to the maximum, with jitter
+ * of the same size.
+ */
 #define BACKOFF_MS 20
 #define BACKOFF_MAX_MS 1000
 
-/* A broken connection to a live engine is read again so often. */
+/* Times that a run is read again after its connection broke, per attempt. */
 #define MAX_RESUMES 3
 
 /* ---- Generations ---- */
@@ -22,8 +25,8 @@
 }
 
 /*
- * A generation whose tokens were all replaced is no longer part of the
- * answer; dropping it keeps the row a true history.
+ * Begins a generation after `from` tokens. Drops generations whose tokens are
+ * all replaced by it, so that `gens` lists only the sources of the answer.
  */
 static void begin_gen(struct flow *f, uint32_t from)
 {
@@ -53,13 +56,13 @@
 	for (i = 0; i < f->nr_gens; i++) {
 		if (f->gens[i].id != gen)
 			continue;
-		/* Its tokens count up to where the next one began. */
+		/* Only its tokens before the next generation are valid. */
 		if (i + 1 < f->nr_gens)
 			return offset <= f->gens[i + 1].from;
 		/*
-		 * A caller may be ahead of an entry that took over and reads
-		 * the same run again: its tokens will come. If the run is
-		 * lost, another generation begins before the offset.
+		 * A client may be ahead of an entry that took over and reads
+		 * the same run again: those tokens are still to come. If the
+		 * run is lost, another generation begins before the offset.
 		 */
 		return offset <= f->tokens || f->phase != FLOW_DONE;
 	}
@@ -94,8 +97,7 @@
 	return act(f, FLOW_FINISH);
 }
 
-/* What can still be promised decides the words: only an untouched request
- * may be called not run. */
+/* A request is reported as not run only if no byte reached an endpoint. */
 static struct flow_action fail(struct flow *f)
 {
 	return finish(f, f->ran ? FLOW_FAILED : FLOW_NOT_RUN);
@@ -181,7 +183,7 @@
 	case FLOW_EV_TOKEN:
 		f->ran = true;
 		f->phase = FLOW_STREAMING;
-		/* A gap cannot be filled from here: read it again. */
+		/* Tokens are missing: read the run again. */
 		if (ev->offset > f->tokens)
 			return on_broken(f, now_ms);
 		*fresh = ev->offset == f->tokens;
--- a/lib/request/rq.c
+++ b/lib/request/rq.c
@@ -27,7 +27,7 @@
 	return r->kind == CFG_IDEMPOTENT || r->resumable;
 }
 
-static bool room_for_run(const struct rq *r)
+static bool below_max_endpoints(const struct rq *r)
 {
 	return r->runs < r->max_endpoints;
 }
@@ -43,7 +43,7 @@
 	return r->started ? RQ_RESUME : RQ_SEND;
 }
 
-/* The true word to a caller who gets no answer from an endpoint. */
+/* The last step for a client that gets no endpoint's response. */
 static enum rq_step give_up(struct rq *r)
 {
 	if (r->started)
@@ -51,23 +51,23 @@
 	return end(r, r->runs ? RQ_BAD_GATEWAY : RQ_NOT_RUN);
 }
 
-static enum rq_step run_is_lost(struct rq *r, bool again)
+static enum rq_step on_run_lost(struct rq *r, bool again)
 {
 	r->at_copy = false;
 	r->runs++;
-	if (again && repeatable(r) && room_for_run(r))
+	if (again && repeatable(r) && below_max_endpoints(r))
 		return send_again(r);
 	return give_up(r);
 }
 
-/* `again`: another endpoint may be asked. */
-static enum rq_step was_not_run(struct rq *r, bool again)
+/* `again`: the request may be sent to another endpoint. */
+static enum rq_step on_not_run(struct rq *r, bool again)
 {
 	r->sending = false;
-	/* The copy is not to be had: what ran before it is lost. */
+	/* The copy is not available, so the run before it is lost. */
 	if (r->at_copy)
-		return run_is_lost(r, again);
-	if (again && (room_for_run(r) || !r->runs))
+		return on_run_lost(r, again);
+	if (again && (below_max_endpoints(r) || !r->runs))
 		return send_again(r);
 	return give_up(r);
 }
@@ -76,21 +76,21 @@
 {
 	assert(r->sending);
 	r->refusals++;
-	return was_not_run(r, again && r->refusals <= RQ_MAX_REFUSALS);
+	return on_not_run(r, again && r->refusals <= RQ_MAX_REFUSALS);
 }
 
 enum rq_step rq_unreached(struct rq *r, bool again)
 {
 	assert(r->sending);
 	r->unreached++;
-	return was_not_run(r, again && r->unreached < RQ_MAX_UNREACHED);
+	return on_not_run(r, again && r->unreached < RQ_MAX_UNREACHED);
 }
 
 enum rq_step rq_lost(struct rq *r, bool again)
 {
 	assert(r->sending);
 	r->sending = false;
-	return run_is_lost(r, again);
+	return on_run_lost(r, again);
 }
 
 void rq_moved(struct rq *r)
@@ -105,13 +105,13 @@
 	assert(r->sending);
 	r->sending = false;
 	/*
-	 * The caller has the beginning of a stream: an error cannot follow
-	 * it, its head would be read as the size of a chunk.
+	 * The client has the beginning of a stream. An error response must
+	 * not follow: its head would be parsed as a chunk size.
 	 */
 	if (!good && r->started)
-		return run_is_lost(r, again);
+		return on_run_lost(r, again);
 	r->runs++;
-	if (!good && again && repeatable(r) && room_for_run(r))
+	if (!good && again && repeatable(r) && below_max_endpoints(r))
 		return RQ_SEND;
 	return end(r, RQ_PASS);
 }
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,24 +1,24 @@
-/* The life of one request: what is done on each event. */
+/* The state machine of one model request (flow): the action on each event. */
 #include <string.h>
 
 #include "request/flow.h"
 #include "support/unit.h"
 
-static struct flow_action tell(struct flow *f, enum flow_event_kind kind,
-			       uint32_t offset, bool *fresh)
+static struct flow_action send_event(struct flow *f, enum flow_event_kind kind,
+				     uint32_t offset, bool *fresh)
 {
 	const struct flow_event ev = { kind, f->attempt, offset };
 
 	return flow_event(f, &ev, fresh, 1000);
 }
 
-static void take(struct flow *f, uint32_t n)
+static void receive_tokens(struct flow *f, uint32_t n)
 {
 	bool fresh;
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
-		tell(f, FLOW_EV_TOKEN, f->tokens, &fresh);
+		send_event(f, FLOW_EV_TOKEN, f->tokens, &fresh);
 }
 
 static struct flow started(void)
@@ -30,23 +30,23 @@
 	return f;
 }
 
-static void whole_answer(void)
+static void complete_answer(void)
 {
 	struct flow f = started();
 	bool fresh;
 
-	take(&f, 3);
+	receive_tokens(&f, 3);
 	CU_ASSERT_EQUAL(f.tokens, 3);
-	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_END, 3, &fresh).kind, FLOW_FINISH);
+	CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_END, 3, &fresh).kind,
+			FLOW_FINISH);
 	CU_ASSERT_EQUAL(f.outcome, FLOW_COMPLETED);
 	CU_ASSERT_EQUAL(f.recomputed, 0);
 }
 
 /*
- * Symptom: a sentence stands twice in an answer.
- * Events: an engine is left, the request goes on elsewhere, then a late token
- * of the first engine arrives.
- * Cause: it belongs to an older attempt and must be dropped by its number.
+ * Failure: a sentence appears twice in an answer. The request moved to another
+ * engine, then a late token of the first engine arrived and was appended; it
+ * must be dropped by the number of its older attempt.
  */
 static void late_token(void)
 {
@@ -54,29 +54,32 @@
 	const struct flow_event late = { FLOW_EV_TOKEN, 1, 3 };
 	bool fresh = true;
 
-	take(&f, 3);
-	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_MOVE, 0, &fresh).kind, FLOW_ROUTE);
+	receive_tokens(&f, 3);
+	CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_MOVE, 0, &fresh).kind,
+			FLOW_ROUTE);
 	CU_ASSERT_EQUAL(flow_routed(&f, 2, false, 0).kind, FLOW_CALL);
 	CU_ASSERT_EQUAL(f.attempt, 2);
 	flow_event(&f, &late, &fresh, 0);
 	CU_ASSERT(!fresh);
 	CU_ASSERT_EQUAL(f.tokens, 3);
-	/* Prompt and tokens were read again. */
+	/* Prompt and tokens were prefilled again. */
 	CU_ASSERT_EQUAL(f.recomputed, 103);
 }
 
-static void doubled_and_missing_tokens(void)
+static void duplicate_and_missing_tokens(void)
 {
 	struct flow f = started();
 	bool fresh;
 
-	take(&f, 3);
-	tell(&f, FLOW_EV_TOKEN, 1, &fresh);
+	receive_tokens(&f, 3);
+	send_event(&f, FLOW_EV_TOKEN, 1, &fresh);
 	CU_ASSERT(!fresh);
-	/* A gap is read again, not skipped. */
-	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_TOKEN, 5, &fresh).kind, FLOW_RESUME);
-	/* An end that comes too early is no end. */
-	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_END, 9, &fresh).kind, FLOW_RESUME);
+	/* A gap makes the run be read again; it is not skipped. */
+	CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_TOKEN, 5, &fresh).kind,
+			FLOW_RESUME);
+	/* An end at another offset than the tokens received is not accepted. */
+	CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_END, 9, &fresh).kind,
+			FLOW_RESUME);
 	CU_ASSERT_EQUAL(f.outcome, FLOW_OPEN);
 }
 
@@ -86,29 +89,30 @@
 	bool fresh;
 	int i;
 
-	take(&f, 1);
+	receive_tokens(&f, 1);
 	for (i = 0; i < 3; i++)
-		CU_ASSERT_EQUAL(tell(&f, FLOW_EV_BROKEN, 0, &fresh).kind,
+		CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_BROKEN, 0, &fresh).kind,
 				FLOW_RESUME);
-	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_BROKEN, 0, &fresh).kind, FLOW_ROUTE);
+	CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_BROKEN, 0, &fresh).kind,
+			FLOW_ROUTE);
 }
 
 /*
- * Symptom: a caller is told "not run" and the work was done.
- * Events: a connection breaks after bytes were sent; later the request is
- * given up.
- * Cause: only a request none of whose bytes left may be called not run.
+ * Failure: a client is told "not run" although the request ran. A connection
+ * breaks after bytes were sent, and later the request fails. Only a request of
+ * which no byte was sent may be reported as not run.
  */
-static void not_run_is_true(void)
+static void not_run_only_if_nothing_was_sent(void)
 {
 	struct flow f = started();
 	bool fresh;
 
-	CU_ASSERT_EQUAL(tell(&f, FLOW_EV_REFUSED, 0, &fresh).kind, FLOW_ROUTE);
+	CU_ASSERT_EQUAL(send_event(&f, FLOW_EV_REFUSED, 0, &fresh).kind,
+			FLOW_ROUTE);
 	flow_give_up(&f, 0);
 	CU_ASSERT_EQUAL(f.outcome, FLOW_NOT_RUN);
 	f = started();
-	tell(&f, FLOW_EV_BROKEN, 0, &fresh);
+	send_event(&f, FLOW_EV_BROKEN, 0, &fresh);
 	flow_give_up(&f, 0);
 	CU_ASSERT_EQUAL(f.outcome, FLOW_FAILED);
 }
@@ -123,10 +127,10 @@
 }
 
 /*
- * Symptom: an answer whose second half belongs to another run.
- * Events: the owner dies; the holder has 3 tokens and begins a generation
- * there; the caller, which got 5, reconnects.
- * Cause: tokens 4 and 5 are of a run that is no longer the answer.
+ * Failure: an answer whose second half belongs to another run. The owner
+ * crashes; the entry that takes over has 3 tokens and begins a generation
+ * there; the client, which got 5, reconnects. Tokens 4 and 5 are of a run that
+ * is no longer part of the answer.
  */
 static void no_splice(void)
 {
@@ -135,12 +139,12 @@
 	struct flow holder;
 	bool fresh;
 
-	take(&f, 5);
+	receive_tokens(&f, 5);
 	flow_init(&holder, 99, 100, 100000);
 	flow_adopt(&holder, f.gens, f.nr_gens, 3, f.attempt, 1);
-	/* While the same run is read again, the caller merely is ahead. */
+	/* While the same run is read again, the client is merely ahead. */
 	CU_ASSERT(flow_can_continue(&holder, first, 5));
-	tell(&holder, FLOW_EV_GONE, 0, &fresh);
+	send_event(&holder, FLOW_EV_GONE, 0, &fresh);
 	flow_routed(&holder, 2, false, 0);
 	CU_ASSERT_NOT_EQUAL(flow_gen(&holder), first);
 	CU_ASSERT(flow_can_continue(&holder, first, 3));
@@ -151,17 +155,17 @@
 	CU_ASSERT(!flow_can_continue(&holder, first, 3));
 }
 
-/* Two entries that both believe they own it make different generations. */
+/* Two entries that both act as the owner begin different generations. */
 static void two_owners(void)
 {
 	struct flow f = started(), g;
 	bool fresh;
 
-	take(&f, 2);
+	receive_tokens(&f, 2);
 	flow_init(&g, 1234, 100, 100000);
 	flow_adopt(&g, f.gens, f.nr_gens, 2, f.attempt, 1);
-	tell(&f, FLOW_EV_MOVE, 0, &fresh);
-	tell(&g, FLOW_EV_MOVE, 0, &fresh);
+	send_event(&f, FLOW_EV_MOVE, 0, &fresh);
+	send_event(&g, FLOW_EV_MOVE, 0, &fresh);
 	flow_routed(&f, 2, false, 0);
 	flow_routed(&g, 3, false, 0);
 	CU_ASSERT_EQUAL(f.attempt, g.attempt);
@@ -169,14 +173,15 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "a whole answer", whole_answer },
+	{ "a complete answer", complete_answer },
 	{ "a late token of an older attempt", late_token },
-	{ "doubled and missing tokens", doubled_and_missing_tokens },
+	{ "duplicate and missing tokens", duplicate_and_missing_tokens },
 	{ "resumes are bounded", resumes_are_bounded },
-	{ "not run is true", not_run_is_true },
+	{ "not run is reported only if no byte was sent",
+	  not_run_only_if_nothing_was_sent },
 	{ "the deadline", deadline_ends_it },
-	{ "no splice", no_splice },
-	{ "two owners", two_owners },
+	{ "no answer is spliced from two runs", no_splice },
+	{ "two owners begin different generations", two_owners },
 };
 
 UNIT_MAIN("request", tests)
--- a/tests/test_rq.c
+++ b/tests/test_rq.c
@@ -1,5 +1,7 @@
-/* The state machine of one attempt: every sequence of events up to a length,
- * against the rules it has to keep, and against a naive twin. */
+/*
+ * The state machine of one attempt: checks the rules on every sequence of
+ * events up to a fixed length, and that a faulty variant breaks them.
+ */
 #include <stdio.h>
 #include <string.h>
 
@@ -12,44 +14,45 @@
 	UNREACHED,
 	LOST,
 	LOST_LAST,
-	GOOD,
-	BAD,
-	BAD_LAST,
+	SUCCEEDED,
+	FAILED,
+	FAILED_LAST,
 	FIRST_EVENT,
-	TIME_UP,
-	GONE,
+	TIMED_OUT,
+	CLIENT_GONE,
 	NO_ENDPOINT,
 	MOVED,
 	EVENTS
 };
 
-/* What the world outside knows of an attempt. */
-struct world {
+/* The true state of an attempt, as its endpoints and the client see it. */
+struct attempt_state {
 	int ran;	/* endpoints on which it ran or may have run */
-	bool under_way; /* sent, and no word yet */
+	bool in_flight; /* sent, without a response yet */
 	bool started;
-	bool at_copy; /* the run was stopped and goes on from its copy */
-	bool failed;  /* the last answer was an error */
-	bool told;
-	bool wrong;
+	bool at_copy; /* the run was stopped and continues from its copy */
+	bool failed;  /* the last response was an error */
+	bool done;    /* the client got the final response */
+	bool wrong;   /* a rule was broken */
 };
 
-static void tell(struct world *w, const struct rq *r, enum rq_step step)
+static void check_step(struct attempt_state *w, const struct rq *r,
+		       enum rq_step step)
 {
 	const bool repeatable = r->kind == CFG_IDEMPOTENT || r->resumable;
 
 	switch (step) {
 	case RQ_SEND:
 	case RQ_RESUME:
-		w->wrong |= w->under_way;
+		w->wrong |= w->in_flight;
 		w->wrong |= w->ran > 0 && !repeatable;
 		w->wrong |= w->ran >= r->max_endpoints;
 		w->wrong |= step == RQ_RESUME && !w->started;
 		w->wrong |= step == RQ_SEND && w->started;
-		w->under_way = true;
+		w->in_flight = true;
 		return;
 	case RQ_NOT_RUN:
-		w->wrong |= w->ran > 0 || w->under_way || w->started;
+		w->wrong |= w->ran > 0 || w->in_flight || w->started;
 		break;
 	case RQ_BAD_GATEWAY:
 	case RQ_TIMED_OUT:
@@ -59,93 +62,94 @@
 		w->wrong |= !w->started;
 		break;
 	case RQ_PASS:
-		/* An error has no place in the middle of a stream. */
+		/* An error response must not follow a part of a stream. */
 		w->wrong |= w->started && w->failed;
 		break;
 	case RQ_DROP:
 		break;
 	}
-	w->told = true;
+	w->done = true;
 }
 
-/* A broken twin takes a connection that broke for "not run". */
-static bool broken_twin;
+/* The faulty variant treats a broken connection as "not run". */
+static bool faulty_variant;
 
-static enum rq_step apply(struct rq *r, struct world *w, enum event e)
+static enum rq_step apply(struct rq *r, struct attempt_state *w, enum event e)
 {
 	switch (e) {
 	case REFUSED:
 	case REFUSED_LAST:
-		w->under_way = false;
-		/* No copy to go on from: what ran before is lost. */
+		w->in_flight = false;
+		/* No copy to continue from: the run before it is lost. */
 		w->ran += w->at_copy;
 		w->at_copy = false;
 		return rq_refused(r, e == REFUSED);
 	case UNREACHED:
-		w->under_way = false;
+		w->in_flight = false;
 		w->ran += w->at_copy;
 		w->at_copy = false;
 		return rq_unreached(r, true);
 	case LOST:
 	case LOST_LAST:
-		w->under_way = false;
+		w->in_flight = false;
 		w->ran++;
 		w->at_copy = false;
-		return broken_twin ? rq_refused(r, e == LOST)
-				   : rq_lost(r, e == LOST);
-	case GOOD:
-		w->under_way = false;
+		return faulty_variant ? rq_refused(r, e == LOST)
+				      : rq_lost(r, e == LOST);
+	case SUCCEEDED:
+		w->in_flight = false;
 		w->ran++;
 		w->failed = false;
 		return rq_answered(r, true, true);
-	case BAD:
-	case BAD_LAST:
-		w->under_way = false;
+	case FAILED:
+	case FAILED_LAST:
+		w->in_flight = false;
 		w->ran++;
 		w->at_copy = false;
 		w->failed = true;
-		return rq_answered(r, false, e == BAD);
-	case TIME_UP:
+		return rq_answered(r, false, e == FAILED);
+	case TIMED_OUT:
 		return rq_timed_out(r);
-	case GONE:
+	case CLIENT_GONE:
 		return rq_caller_gone(r);
 	default:
 		return rq_no_endpoint(r);
 	}
 }
 
-static bool possible(const struct rq *r, const struct world *w, enum event e)
+static bool possible(const struct rq *r, const struct attempt_state *w,
+		     enum event e)
 {
-	if (w->told)
+	if (w->done)
 		return false;
 	switch (e) {
-	case TIME_UP:
-	case GONE:
+	case TIMED_OUT:
+	case CLIENT_GONE:
 		return true;
 	case NO_ENDPOINT:
-		return !w->under_way;
+		return !w->in_flight;
 	case MOVED:
-		return w->under_way && w->started;
+		return w->in_flight && w->started;
 	case FIRST_EVENT:
-		return w->under_way && !w->started && r->kind == CFG_STREAM;
+		return w->in_flight && !w->started && r->kind == CFG_STREAM;
 	default:
-		return w->under_way;
+		return w->in_flight;
 	}
 }
 
-static unsigned long sequences, broken;
+static unsigned long sequences, violations;
 
-static void explore(struct rq r, struct world w, int depth)
+static void explore(struct rq r, struct attempt_state w, int depth)
 {
 	int e;
 
 	sequences++;
-	broken += w.wrong;
+	violations += w.wrong;
 	if (!depth)
 		return;
 	for (e = 0; e < EVENTS; e++) {
 		struct rq r2 = r;
-		struct world w2 = w;
+		struct attempt_state w2 = w;
 		enum rq_step step;
 
 		if (!possible(&r, &w, (enum event)e))
@@ -164,7 +168,7 @@
 			continue;
 		}
 		step = apply(&r2, &w2, (enum event)e);
-		tell(&w2, &r2, step);
+		check_step(&w2, &r2, step);
 		if (step == RQ_SEND || step == RQ_RESUME)
 			rq_sent(&r2);
 		explore(r2, w2, depth - 1);
@@ -184,9 +188,9 @@
 	};
 	size_t i;
 
-	sequences = broken = 0;
+	sequences = violations = 0;
 	for (i = 0; i < sizeof(routes) / sizeof(routes[0]); i++) {
-		struct world w = { .under_way = true };
+		struct attempt_state w = { .in_flight = true };
 		struct rq r;
 
 		rq_init(&r, &routes[i]);
@@ -198,24 +202,23 @@
 static void all_sequences_keep_the_rules(void)
 {
 	explore_all();
-	CU_ASSERT_EQUAL(broken, 0);
+	CU_ASSERT_EQUAL(violations, 0);
 	CU_ASSERT(sequences > 1000);
 }
 
-static void twin_that_trusts_broken_connections_is_caught(void)
+static void variant_that_trusts_broken_connections_is_detected(void)
 {
-	broken_twin = true;
+	faulty_variant = true;
 	explore_all();
-	broken_twin = false;
-	CU_ASSERT(broken > 0);
+	faulty_variant = false;
+	CU_ASSERT(violations > 0);
 }
 
 /*
- * Symptom: a transfer ran twice. Sequence: the endpoint's connection broke
- * after the request had left; it was sent to another one. Cause: taking a
- * broken connection for "not run".
+ * Failure: a transfer ran twice. The connection broke after the request was
+ * sent, this was taken for "not run", and another endpoint got the request.
  */
-static void lost_call_is_not_repeated(void)
+static void lost_request_is_not_repeated(void)
 {
 	const struct cfg_route once = { .kind = CFG_ONCE, .max_endpoints = 3 };
 	struct rq r;
@@ -225,8 +228,8 @@
 	CU_ASSERT_EQUAL(rq_lost(&r, true), RQ_BAD_GATEWAY);
 }
 
-/* A refusal that says "not run" may be followed by another endpoint. */
-static void refused_call_is_sent_again(void)
+/* After a refusal ("not run") the request may go to another endpoint. */
+static void refused_request_is_sent_again(void)
 {
 	const struct cfg_route once = { .kind = CFG_ONCE, .max_endpoints = 1 };
 	struct rq r;
@@ -242,11 +245,11 @@
 }
 
 /*
- * Symptom: callers were told 503 "endpoint not reached" while most endpoints
- * were well. Sequence: several had ended and were listed still; three of them
- * were tried. Cause: a connection that is refused counted as a refusal.
+ * Failure: clients got 503 "endpoint not reached" while most endpoints were
+ * alive. Several had crashed and were still listed; three of them were tried,
+ * as a failed connection counted as a refusal.
  */
-static void unreached_call_is_sent_again(void)
+static void unreached_request_is_sent_again(void)
 {
 	const struct cfg_route once = { .kind = CFG_ONCE, .max_endpoints = 1 };
 	struct rq r;
@@ -264,11 +267,11 @@
 }
 
 /*
- * Symptom: a caller was told "not run, come back", and the request ran.
- * Sequence: the route's time was over while an endpoint had the request.
- * Cause: the same answer for a request that waits and one that was sent.
+ * Failure: a client was done "not run, retry", and the request ran. The route
+ * timed out while an endpoint had the request; the response was the same as
+ * for a request that was not sent yet.
  */
-static void time_up_while_sent_promises_nothing(void)
+static void timeout_after_send_is_not_reported_as_not_run(void)
 {
 	const struct cfg_route once = { .kind = CFG_ONCE, .max_endpoints = 1 };
 	struct rq r;
@@ -302,9 +305,9 @@
 }
 
 /*
- * Symptom: a caller could not read a chunk's size. Sequence: a stream breaks
- * off, and the endpoint that is to go on with it answers an error. Cause: the
- * error was passed on as the answer, head and all, into the stream.
+ * Failure: a client could not parse a chunk size. A stream broke off, the
+ * endpoint that was to resume it responded with an error, and this response
+ * was relayed into the stream with its head.
  */
 static void error_does_not_enter_a_stream(void)
 {
@@ -324,10 +327,9 @@
 }
 
 /*
- * Symptom: a stream was put together from two runs. Sequence: its run was
- * stopped and copied, the copy was gone when the request came for it, and
- * another endpoint began it anew. Cause: a truthful "not run" of the copy
- * taken for "never ran".
+ * Failure: a stream was spliced from two runs. Its run was stopped and copied,
+ * the copy was gone when the request arrived, and another endpoint started
+ * over: the "not run" of the copy was taken for "never ran".
  */
 static void lost_copy_is_a_lost_run(void)
 {
@@ -350,8 +352,8 @@
 	CU_ASSERT_EQUAL(r.runs, 1);
 }
 
-/* An error that an endpoint gave is worth another try only if repeatable. */
-static void errors_are_passed_or_repeated(void)
+/* An error response is retried only if the request is repeatable. */
+static void errors_are_relayed_or_retried(void)
 {
 	const struct cfg_route safe = { .kind = CFG_IDEMPOTENT,
 					.max_endpoints = 2 };
@@ -369,18 +371,19 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "an unreached call is sent again", unreached_call_is_sent_again },
+	{ "an unreached request is sent again",
+	  unreached_request_is_sent_again },
 	{ "all sequences keep the rules", all_sequences_keep_the_rules },
-	{ "the twin that trusts broken connections is caught",
-	  twin_that_trusts_broken_connections_is_caught },
-	{ "a lost call is not repeated", lost_call_is_not_repeated },
-	{ "a refused call is sent again", refused_call_is_sent_again },
-	{ "time up while sent promises nothing",
-	  time_up_while_sent_promises_nothing },
+	{ "the variant that trusts broken connections is detected",
+	  variant_that_trusts_broken_connections_is_detected },
+	{ "a lost request is not repeated", lost_request_is_not_repeated },
+	{ "a refused request is sent again", refused_request_is_sent_again },
+	{ "a timeout after the send is not reported as not run",
+	  timeout_after_send_is_not_reported_as_not_run },
 	{ "a stream resumes or is cut", stream_resumes_or_is_cut },
 	{ "an error does not enter a stream", error_does_not_enter_a_stream },
 	{ "a lost copy is a lost run", lost_copy_is_a_lost_run },
-	{ "errors are passed or repeated", errors_are_passed_or_repeated },
+	{ "errors are relayed or retried", errors_are_relayed_or_retried },
 };
 
 UNIT_MAIN("rq", tests)
