--- a/bench/bench_scale.c
+++ b/bench/bench_scale.c
@@ -157,8 +157,8 @@
 {
 	struct bench *b = arg;
 
-	share_keeper_ask(b->keeper, 1 + i % b->entries, 100 + i % 50, 0,
-			 20000 + i);
+	share_keeper_request(b->keeper, 1 + i % b->entries, 100 + i % 50, 0,
+			     20000 + i);
 }
 
 static void op_spread(void *arg, unsigned i)
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -314,25 +314,26 @@
 	struct acct *a;
 	unsigned i;
 
-	t->unheard = 0;
-	t->asked = 1;
+	t->unreported = 0;
+	t->active = 1;
 	cds_list_for_each_entry(a, &t->accounts, node)
-		a->others = 0;
+		a->demand_elsewhere = 0;
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		alive += prs_alive(p, now);
 		if (!p->last || now - p->heard_ms > PRS_FORGET_MS) {
-			t->unheard += p->registered;
+			t->unreported += p->registered;
 			continue;
 		}
-		t->asked += p->last->nr_demands > 0;
+		t->active += p->last->nr_demands > 0;
 		for (i = 0; i < p->last->nr_demands; i++) {
 			a = acct_get(t, p->last->demands[i].account, now);
-			a->others += p->last->demands[i].per_s;
+			a->demand_elsewhere += p->last->demands[i].per_s;
 		}
 	}
 	t->entries = prs_sharing(&en->prs, now);
 	t->current = alive + 1 > t->entries * CURRENT_PART;
-	t->told_ms = en->prs.count > ROUND_PEERS ? TELL_EACH_MS : ROUND_MS;
+	t->gossip_delay_ms = en->prs.count > ROUND_PEERS ? TELL_EACH_MS
+							 : ROUND_MS;
 	acct_tick(t, now);
 }
 
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -224,8 +224,8 @@
 	jlog_num(en->log, "share", acct_share(&en->accounts, a));
 	jlog_num(en->log, "rate", a->rate);
 	jlog_num(en->log, "demand", a->demand);
-	jlog_num(en->log, "demand_elsewhere", a->others);
-	jlog_int(en->log, "told_ms", en->accounts.told_ms);
+	jlog_num(en->log, "demand_elsewhere", a->demand_elsewhere);
+	jlog_int(en->log, "told_ms", en->accounts.gossip_delay_ms);
 	jlog_int(en->log, "after_ms", after_ms);
 	jlog_end(en->log);
 }
@@ -287,14 +287,14 @@
 	const unsigned n = prs_sharing(&en->prs, now);
 
 	if (!spend)
-		return again_has(budget_for(r), &l, n, now);
+		return again_available(budget_for(r), &l, n, now);
 	return again_spend(budget_for(r), &l, n, now);
 }
 
 void edge_unpay(struct edge_req *r)
 {
 	if (r->paid)
-		again_return(budget_for(r));
+		again_refund(budget_for(r));
 	r->paid = false;
 }
 
--- a/lib/entry/ent_share.c
+++ b/lib/entry/ent_share.c
@@ -92,8 +92,8 @@
 	pthread_mutex_lock(&found->lock);
 	follow_view(en, found, true, members);
 	share_keeper_scale(found->keeper, alive, members);
-	*rate = share_keeper_ask(found->keeper, who, demand, in_use,
-				 ent_now(en));
+	*rate = share_keeper_request(found->keeper, who, demand, in_use,
+				     ent_now(en));
 	pthread_mutex_unlock(&found->lock);
 	return true;
 }
@@ -183,7 +183,7 @@
 	pthread_mutex_lock(&a->lock);
 	follow_view(en, a, k.id == en->self.id, members);
 	/* A new keeper must hear from all before it may give. */
-	wants = now || share_wants(&a->share, ent_now(en)) ||
+	wants = now || share_is_due(&a->share, ent_now(en)) ||
 		a->asked_keeper != k.id;
 	a->asked_keeper = k.id;
 	demand = a->share.demand;
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -369,7 +369,7 @@
 		a->limit = d->accounts[i].tokens_per_s;
 		a->share.limit = a->limit;
 		if (a->keeper)
-			share_keeper_limit(a->keeper, a->limit);
+			share_keeper_set_limit(a->keeper, a->limit);
 		pthread_mutex_unlock(&a->lock);
 	}
 }
--- a/lib/limit/acct.c
+++ b/lib/limit/acct.c
@@ -34,7 +34,7 @@
 
 static bool slow_facts(const struct acct_table *t)
 {
-	return t->told_ms > TOLD_SOON_MS;
+	return t->gossip_delay_ms > TOLD_SOON_MS;
 }
 
 void acct_init(struct acct_table *t, const struct acct_slack *slack)
@@ -65,7 +65,7 @@
 	assert(a);
 	str_copy(a->name, name, sizeof(a->name));
 	a->at_ms = now;
-	a->fresh = true;
+	a->is_new = true;
 	HASH_ADD_KEYPTR(by_name, t->names, a->name, strlen(a->name), a);
 	cds_list_add_tail(&a->node, &t->accounts);
 	t->count++;
@@ -116,7 +116,8 @@
 static bool calm(const struct acct_table *t, const struct acct *a)
 {
 	return t->current &&
-	       a->demand * (1 + t->unheard) + a->others < a->rate * CALM_PART;
+	       a->demand * (1 + t->unreported) + a->demand_elsewhere <
+		       a->rate * CALM_PART;
 }
 
 /*
@@ -129,7 +130,7 @@
 	const unsigned least = t->entries < ASKED_LEAST ? t->entries
 							: ASKED_LEAST;
 
-	return t->asked > least ? t->asked : least;
+	return t->active > least ? t->active : least;
 }
 
 /*
@@ -150,13 +151,13 @@
 {
 	double usual;
 
-	if (t->unheard || calm(t, a))
+	if (t->unreported || calm(t, a))
 		return a->demand;
 	if (t->current)
-		return a->known[0];
-	usual = a->others / asked_entries(t);
-	if (usual < a->known[ACCT_TELLINGS - 1])
-		usual = a->known[ACCT_TELLINGS - 1];
+		return a->reported[0];
+	usual = a->demand_elsewhere / asked_entries(t);
+	if (usual < a->reported[ACCT_REPORTS - 1])
+		usual = a->reported[ACCT_REPORTS - 1];
 	return a->demand < usual ? a->demand : usual;
 }
 
@@ -169,12 +170,13 @@
  */
 double acct_share(const struct acct_table *t, const struct acct *a)
 {
-	const unsigned n = t->unheard ? t->entries : asked_entries(t);
+	const unsigned n = t->unreported ? t->entries : asked_entries(t);
 	const double even = 1.0 / n;
 	const double floor = a->rate * FLOOR_PART * even;
 	const double own = own_demand(t, a);
 	const double mine = own + floor;
-	const double all = own * (1 + t->unheard) + a->others + floor * n;
+	const double all =
+		own * (1 + t->unreported) + a->demand_elsewhere + floor * n;
 
 	return all > 0 ? mine / all : even;
 }
@@ -213,12 +215,12 @@
 static void remember_telling(const struct acct_table *t, struct acct *a,
 			     int64_t now)
 {
-	if (!t->current || now - a->known_ms < t->told_ms)
+	if (!t->current || now - a->reported_ms < t->gossip_delay_ms)
 		return;
-	memmove(a->known + 1, a->known,
-		(ACCT_TELLINGS - 1) * sizeof(a->known[0]));
-	a->known[0] = a->demand;
-	a->known_ms = now;
+	memmove(a->reported + 1, a->reported,
+		(ACCT_REPORTS - 1) * sizeof(a->reported[0]));
+	a->reported[0] = a->demand;
+	a->reported_ms = now;
 }
 
 static void advance(struct acct_table *t, struct acct *a, int64_t now)
@@ -230,9 +232,9 @@
 	a->demand = acct_demand(a, now);
 	a->at_ms = now;
 	remember_telling(t, a, now);
-	if (a->fresh) {
+	if (a->is_new) {
 		a->level = most * (t->first_start ? 1 : START_PART);
-		a->fresh = false;
+		a->is_new = false;
 	}
 	a->level += rate_of(t, a) * share * dt / 1000;
 	if (a->level > most)
@@ -248,8 +250,10 @@
 			   double amount)
 {
 	if (calm(t, a))
-		return -a->mean * CALM_DEBT;
-	return amount < a->mean * SMALL_PART ? -a->mean * SMALL_DEBT : 0;
+		return -a->mean_amount * CALM_DEBT;
+	return amount < a->mean_amount * SMALL_PART
+		       ? -a->mean_amount * SMALL_DEBT
+		       : 0;
 }
 
 void acct_tick(struct acct_table *t, int64_t now)
@@ -272,9 +276,9 @@
 	a->burst = burst;
 	advance(t, a, now);
 	a->demand += amount * 1000 / DEMAND_MS;
-	if (a->seen < MEAN_REQUESTS)
-		a->seen++;
-	a->mean += (amount - a->mean) / a->seen;
+	if (a->nr_in_mean < MEAN_REQUESTS)
+		a->nr_in_mean++;
+	a->mean_amount += (amount - a->mean_amount) / a->nr_in_mean;
 	if (rate <= 0)
 		return true;
 	/*
--- a/lib/limit/acct.h
+++ b/lib/limit/acct.h
@@ -23,7 +23,7 @@
  * Tellings that are remembered: a cut is noticed after a second, and of many
  * entries the one before the last is from about the moment of the cut.
  */
-#define ACCT_TELLINGS 2
+#define ACCT_REPORTS 2
 
 struct acct {
 	struct cds_list_head node; /* in acct_table.accounts */
@@ -31,18 +31,18 @@
 	char name[ACCT_NAME];
 	double level;  /* may be below zero: the last one admitted was big */
 	double demand; /* of callers here, a second, fading */
-	double others; /* demand at other entries, as last told */
+	double demand_elsewhere; /* demand at other entries, as last told */
 	/*
 	 * Own demand as the other entries were told it, the last time first,
 	 * each time told_ms before the one in front of it.
 	 */
-	double known[ACCT_TELLINGS];
-	int64_t known_ms;   /* of the first */
-	double mean;	    /* amount of a request, fading */
-	unsigned seen;	    /* requests in that mean, up to its memory */
-	double rate, burst; /* in force, over all entries */
-	int64_t at_ms;	    /* of level and demand */
-	bool fresh;	    /* not filled yet */
+	double reported[ACCT_REPORTS];
+	int64_t reported_ms; /* of the first */
+	double mean_amount;  /* amount of a request, fading */
+	unsigned nr_in_mean; /* requests in that mean, up to its memory */
+	double rate, burst;  /* in force, over all entries */
+	int64_t at_ms;	     /* of level and demand */
+	bool is_new;	     /* not filled yet */
 };
 
 /* The slack that the limits leave, of which we use a part. */
@@ -56,10 +56,11 @@
 	struct acct *names; /* by name */
 	size_t count;
 	unsigned entries; /* that share the limits, with this one */
-	unsigned unheard; /* of them, those that have not told their demand */
-	unsigned asked;	  /* of them, those with demand of any account */
-	int told_ms;	  /* until all others know what one tells */
-	bool current;	  /* most of the others told their demand just now */
+	unsigned
+		unreported; /* of them, those that have not told their demand */
+	unsigned active;    /* of them, those with demand of any account */
+	int gossip_delay_ms; /* until all others know what one tells */
+	bool current;	     /* most of the others told their demand just now */
 	struct acct_slack slack;
 	bool first_start; /* no process before us let anything through */
 };
--- a/lib/limit/again.c
+++ b/lib/limit/again.c
@@ -53,8 +53,8 @@
 	b->level += l->ratio * RATIO_PART;
 }
 
-bool again_has(struct again *b, const struct again_limits *l, unsigned entries,
-	       int64_t now)
+bool again_available(struct again *b, const struct again_limits *l,
+		     unsigned entries, int64_t now)
 {
 	advance(b, l, entries, now);
 	return b->level >= 1;
@@ -70,7 +70,7 @@
 	return true;
 }
 
-void again_return(struct again *b)
+void again_refund(struct again *b)
 {
 	/* What is beyond the most that may be saved goes with the next look. */
 	b->level += 1;
--- a/lib/limit/again.h
+++ b/lib/limit/again.h
@@ -31,14 +31,14 @@
 		int64_t now_ms);
 
 /* True if a repeat could be sent now. */
-bool again_has(struct again *b, const struct again_limits *l, unsigned entries,
-	       int64_t now_ms);
+bool again_available(struct again *b, const struct again_limits *l,
+		     unsigned entries, int64_t now_ms);
 
 /* True if a repeat may be sent; it is then counted. */
 bool again_spend(struct again *b, const struct again_limits *l,
 		 unsigned entries, int64_t now_ms);
 
 /* A repeat that was counted did not reach an endpoint. */
-void again_return(struct again *b);
+void again_refund(struct again *b);
 
 #endif
--- a/lib/limit/share.c
+++ b/lib/limit/share.c
@@ -76,7 +76,7 @@
 	free(k);
 }
 
-void share_keeper_limit(struct share_keeper *k, double limit)
+void share_keeper_set_limit(struct share_keeper *k, double limit)
 {
 	k->limit = limit;
 }
@@ -148,8 +148,8 @@
 	return demand + (total - k->demand) / (double)(n ? n : 1);
 }
 
-double share_keeper_ask(struct share_keeper *k, uint64_t who, double demand,
-			double in_use, int64_t now_ms)
+double share_keeper_request(struct share_keeper *k, uint64_t who, double demand,
+			    double in_use, int64_t now_ms)
 {
 	double total, want, room, counted;
 	struct given *g;
@@ -191,7 +191,7 @@
 	return want;
 }
 
-double share_keeper_out(const struct share_keeper *k)
+double share_keeper_granted(const struct share_keeper *k)
 {
 	return k->out;
 }
@@ -275,8 +275,8 @@
 	s->level += cost;
 }
 
-bool share_wants(const struct share *s, int64_t now_ms)
+bool share_is_due(const struct share *s, int64_t now_ms)
 {
 	return s->demand > 0.5 &&
-	       now_ms >= s->valid_ms - SHARE_TTL_MS + SHARE_ASK_MS;
+	       now_ms >= s->valid_ms - SHARE_TTL_MS + SHARE_REQUEST_MS;
 }
--- a/lib/limit/share.h
+++ b/lib/limit/share.h
@@ -25,7 +25,7 @@
  * leaves the shares as they are until the next view has a new one.
  */
 #define SHARE_TTL_MS 10000
-#define SHARE_ASK_MS 2000
+#define SHARE_REQUEST_MS 2000
 
 struct share_keeper;
 
@@ -38,7 +38,7 @@
 void share_keeper_free(struct share_keeper *k);
 
 /* The document changed the limit. Lowering takes effect as shares end. */
-void share_keeper_limit(struct share_keeper *k, double limit);
+void share_keeper_set_limit(struct share_keeper *k, double limit);
 
 /*
  * Scales what may be out to the part of the view that is believed alive, so
@@ -52,11 +52,11 @@
  * for the next SHARE_TTL_MS, or -1 while the keeper is new: the entry then
  * goes on with what it has. Costs the same for any number of entries.
  */
-double share_keeper_ask(struct share_keeper *k, uint64_t who, double demand,
-			double in_use, int64_t now_ms);
+double share_keeper_request(struct share_keeper *k, uint64_t who, double demand,
+			    double in_use, int64_t now_ms);
 
 /* What is out now, in tokens per second. */
-double share_keeper_out(const struct share_keeper *k);
+double share_keeper_granted(const struct share_keeper *k);
 
 /* The entry's side: a token bucket filled at the rate of its share. */
 struct share {
@@ -91,6 +91,6 @@
 void share_refund(struct share *s, double cost);
 
 /* True if the keeper should be asked now. */
-bool share_wants(const struct share *s, int64_t now_ms);
+bool share_is_due(const struct share *s, int64_t now_ms);
 
 #endif
--- a/tests/support/sched_rest.c
+++ b/tests/support/sched_rest.c
@@ -363,8 +363,8 @@
 					   NULL);
 			if (rnd_below(&rnd, 200) == 0)
 				wake[i] = now + rnd_below(&rnd, 15000);
-			if (now >= wake[i] && share_wants(&s[i], now)) {
-				double rate = share_keeper_ask(
+			if (now >= wake[i] && share_is_due(&s[i], now)) {
+				double rate = share_keeper_request(
 					k, i + 1, s[i].demand,
 					share_in_use(&s[i], now), now);
 
--- a/tests/test_acct.c
+++ b/tests/test_acct.c
@@ -56,9 +56,9 @@
 
 	acct_init(&s->t[i], &slack);
 	s->t[i].entries = (unsigned)s->entries;
-	s->t[i].unheard = (unsigned)s->entries - 1;
+	s->t[i].unreported = (unsigned)s->entries - 1;
 	s->t[i].first_start = first;
-	s->t[i].told_ms = s->tell_ms;
+	s->t[i].gossip_delay_ms = s->tell_ms;
 }
 
 /* Every third entry is on the smaller side of a cut. */
@@ -89,21 +89,21 @@
 	for (i = 0; i < s->entries; i++) {
 		struct acct *a = acct_get(&s->t[i], "x", now);
 
-		a->others = 0;
-		s->t[i].unheard = 0;
+		a->demand_elsewhere = 0;
+		s->t[i].unreported = 0;
 		s->t[i].current = current(s, now);
-		s->t[i].asked = 1;
+		s->t[i].active = 1;
 		for (k = 0; k < s->entries; k++) {
 			if (k == i)
 				continue;
-			s->t[i].asked +=
+			s->t[i].active +=
 				acct_demand(acct_get(&s->t[k], "x", now), now) >
 				0;
-			a->others += apart(s, i, k)
-					     ? s->at_cut[k]
-					     : acct_demand(acct_get(&s->t[k],
-								    "x", now),
-							   now);
+			a->demand_elsewhere +=
+				apart(s, i, k) ? s->at_cut[k]
+					       : acct_demand(acct_get(&s->t[k],
+								      "x", now),
+							     now);
 		}
 		acct_tick(&s->t[i], now);
 	}
@@ -278,7 +278,7 @@
 		close_sim(&s);
 		for (i = 0; i < ENTRIES; i++) {
 			start_entry(&s, i, true);
-			s.t[i].unheard = 0;
+			s.t[i].unreported = 0;
 			s.t[i].current = true;
 		}
 		s.silent = true;
@@ -595,7 +595,7 @@
 
 		requests++;
 		again_earn(mine, &l, ENTRIES, now);
-		CU_ASSERT_EQUAL(again_has(mine, &l, ENTRIES, now),
+		CU_ASSERT_EQUAL(again_available(mine, &l, ENTRIES, now),
 				mine->level >= 1);
 		repeats += again_spend(mine, &l, ENTRIES, now);
 	}
@@ -658,7 +658,7 @@
 	while (again_spend(&b, &l, ENTRIES, 0))
 		n++;
 	for (i = 0; i < 1000; i++)
-		again_return(&b);
+		again_refund(&b);
 	while (again_spend(&b, &l, ENTRIES, 0))
 		n--;
 	CU_ASSERT_EQUAL(n, 0);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -133,22 +133,22 @@
 	double a, b;
 	int i;
 
-	CU_ASSERT_EQUAL(share_keeper_ask(k, 1, 900, 0, 100), -1);
+	CU_ASSERT_EQUAL(share_keeper_request(k, 1, 900, 0, 100), -1);
 	/* All members have told what they use: the quiet time is over. */
-	b = share_keeper_ask(k, 2, 100, 0, 100);
-	a = share_keeper_ask(k, 1, 900, 0, 200);
+	b = share_keeper_request(k, 2, 100, 0, 100);
+	a = share_keeper_request(k, 1, 900, 0, 200);
 	CU_ASSERT(a > 6 * b && a + b <= 800.0001);
 	/*
 	 * Demand moves. A lower share counts at its old rate until the entry
 	 * confirms it, so it takes a few rounds of a second each.
 	 */
 	for (i = 1; i <= 4; i++) {
-		a = share_keeper_ask(k, 1, 100, a, 1000 * i);
-		b = share_keeper_ask(k, 2, 900, b, 1000 * i + 100);
+		a = share_keeper_request(k, 1, 100, a, 1000 * i);
+		b = share_keeper_request(k, 2, 900, b, 1000 * i + 100);
 		CU_ASSERT(a + b <= 800.0001);
 	}
 	CU_ASSERT(b > 6 * a && a + b <= 800.0001);
-	CU_ASSERT_EQUAL(share_keeper_ask(k, 3, -5, 0, 5000), 0);
+	CU_ASSERT_EQUAL(share_keeper_request(k, 3, -5, 0, 5000), 0);
 	share_keeper_free(k);
 }
 
@@ -157,7 +157,7 @@
 	struct share_keeper *k = share_keeper_create(1000, 1, -20000);
 
 	share_keeper_scale(k, 4, 8);
-	CU_ASSERT(share_keeper_ask(k, 1, 5000, 0, 0) <= 400.0001);
+	CU_ASSERT(share_keeper_request(k, 1, 5000, 0, 0) <= 400.0001);
 	share_keeper_free(k);
 }
 
