--- a/lib/limit/acct.c
+++ b/lib/limit/acct.c
@@ -8,33 +8,36 @@
 #include "base/fade.h"
 
 /*
- * Demand fades with this time constant: long enough to see several requests
- * of a small account, short enough to follow a burst.
+ * Time constant of the exponential decay of demand: long enough to cover
+ * several requests of a small account, short enough to follow a burst.
  */
 #define DEMAND_MS 2000.0
 
 /*
- * A share never falls below this part of an even one, so that the first
- * request at an entry finds room.
+ * Minimum share of an entry, relative to an even one, so that the first request
+ * at an entry is admitted.
  */
-#define FLOOR_PART 0.15
+#define FLOOR_RATIO 0.15
 
 /*
- * Of the overrun and the slack that limits leave, this much is used before a
- * caller is refused. The rest covers shares that were worked out from facts
- * some hundred milliseconds old, and the last admitted request of each entry,
- * which may be larger than what was left. Many entries tell each other in
- * turn; then the last requests of 24 of them take all of the slack of a small
- * account, and none of it is added to the burst.
+ * Fraction of the tolerated overrun (acct_slack) that is used before a request
+ * is refused. The rest covers shares computed from demands that are some
+ * hundred milliseconds old, and the last admitted request of each entry, which
+ * may exceed the tokens left. Many entries gossip in rotation; the last
+ * requests of 24 of them then take all of the slack of a small account, so none
+ * of it is added to the burst.
  */
-#define SLACK_PART 0.55
+#define SLACK_RATIO 0.55
 
-/* Facts older than this are slow: up to nine entries tell all at once. */
-#define TOLD_SOON_MS 300
+/*
+ * Gossip delay above which gossip counts as slow. Up to nine entries gossip to
+ * all others in each round, and stay below it.
+ */
+#define FAST_GOSSIP_MS 300
 
-static bool slow_facts(const struct acct_table *t)
+static bool is_gossip_slow(const struct acct_table *t)
 {
-	return t->gossip_delay_ms > TOLD_SOON_MS;
+	return t->gossip_delay_ms > FAST_GOSSIP_MS;
 }
 
 void acct_init(struct acct_table *t, const struct acct_slack *slack)
@@ -56,7 +59,7 @@
 	}
 }
 
-/* uthash's macro counts as fifty statements of ours. */
+/* uthash's macro expands to about fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static struct acct *add(struct acct_table *t, const char *name, int64_t now)
 {
@@ -72,7 +75,7 @@
 	return a;
 }
 
-/* Found by hash: peers tell of some thousand demands in a round. */
+/* A hash table, as peers gossip some thousand demands in a round. */
 struct acct *acct_get(struct acct_table *t, const char *name, int64_t now)
 {
 	struct acct *a;
@@ -86,66 +89,66 @@
 	return a->demand * fade_left(DEMAND_MS, a->at_ms, now);
 }
 
-/* Entries that callers are named at least (lib/member/named). */
-#define ASKED_LEAST 24
+/* Minimum number of entries that clients are directed to (lib/member/named). */
+#define MIN_ACTIVE 24
 
 /*
- * An account is calm while all entries together are asked for less than this
- * part of its limit. Sums of demands that fade over seconds vary by a quarter
- * where an account sends a few prompts a second; with a lower part those are
+ * An account is calm while the sum of its demands at all entries is below this
+ * fraction of its limit. For an account that sends a few prompts per second,
+ * the decayed sum varies by a quarter; with a lower fraction this would be
  * taken for a burst every few seconds.
  */
-#define CALM_PART 0.9
+#define CALM_RATIO 0.9
 
 /*
- * Of a calm account each entry admits down to a debt of so many usual
- * requests. The debt is paid back out of the entry's part of the limit, and
- * a burst ends it within the time in which entries hear of each other: what
- * was let through by then still fits into the window that the limit is
- * reckoned over.
+ * Maximum debt of a calm account at an entry, in mean requests. The debt is
+ * repaid from the entry's share of the limit. In a burst the account ceases to
+ * be calm once gossip has reached all entries; what was admitted until then
+ * still fits into the window over which the limit is measured.
  */
 #define CALM_DEBT 2.0
 
 /*
- * What an entry's part of a limit brings in a second may be less than one
- * prompt. Judged by that part alone, an account that asks for half of its
- * limit is refused whenever two of its prompts come to one entry within a
- * second: one in ten on 48 entries. In sum over all entries there is room,
- * and they know it from each other.
+ * True if the account is calm. An entry's share of a limit may be less than one
+ * prompt per second. By that share alone, an account that uses half of its
+ * limit would be refused whenever two of its prompts reach one entry within a
+ * second: one in ten on 48 entries. In sum over all entries there is room, and
+ * gossip tells each entry so.
  */
 static bool calm(const struct acct_table *t, const struct acct *a)
 {
 	return t->current &&
 	       a->demand * (1 + t->unreported) + a->demand_elsewhere <
-		       a->rate * CALM_PART;
+		       a->rate * CALM_RATIO;
 }
 
 /*
- * Entries that are asked, as far as is known, and at least as many as callers
- * are named at any load. Right after a start nobody has told of a request, and
- * each entry would take itself for the only one that is asked.
+ * Number of entries with demand as far as known, but no less than the number
+ * that clients are directed to at any load. Right after a start no demand has
+ * been gossiped, and each entry would otherwise take itself for the only one
+ * with demand.
  */
-static unsigned asked_entries(const struct acct_table *t)
+static unsigned active_entries(const struct acct_table *t)
 {
-	const unsigned least = t->entries < ASKED_LEAST ? t->entries
-							: ASKED_LEAST;
+	const unsigned min_active = t->entries < MIN_ACTIVE ? t->entries
+							    : MIN_ACTIVE;
 
-	return t->active > least ? t->active : least;
+	return t->active > min_active ? t->active : min_active;
 }
 
 /*
- * Against what the others told, our own demand counts as it was when they
- * were told of it. Reckoned as it is now, each entry saw its own part of a
- * burst before that of the others, and the shares of 48 entries came to four
- * in sum: an account that sent twenty times its limit for a second got 1.45
- * of what is allowed. Of a calm account the present demand counts: one prompt
- * in some seconds is all that an entry sees of it.
+ * The own demand to compare with that of the other entries: the value last
+ * reported to them. With the current value, each entry saw its own part of a
+ * burst before that of the others, and the shares of 48 entries added up to
+ * four: an account that sent twenty times its limit for a second got 1.45 times
+ * what is allowed. For a calm account the current value counts, as an entry
+ * sees only one of its prompts in some seconds.
  *
- * While a part of the entries is not heard, what is known of them is from
- * before that, and so is what counts of ours: when a burst began just before
- * a third of the entries was cut off for twelve seconds, each side reckoned
- * its demand of now against the other's of then, and the account got 1.3 of
- * what is allowed.
+ * While some entries are partitioned, their last known demand is from before
+ * the partition, so an own demand from that time is used as well. When a burst
+ * began just before a third of the entries was partitioned for twelve seconds,
+ * each side compared its current demand with the other's old one, and the
+ * account got 1.3 times what is allowed.
  */
 static double own_demand(const struct acct_table *t, const struct acct *a)
 {
@@ -155,24 +158,24 @@
 		return a->demand;
 	if (t->current)
 		return a->reported[0];
-	usual = a->demand_elsewhere / asked_entries(t);
+	usual = a->demand_elsewhere / active_entries(t);
 	if (usual < a->reported[ACCT_REPORTS - 1])
 		usual = a->reported[ACCT_REPORTS - 1];
 	return a->demand < usual ? a->demand : usual;
 }
 
 /*
- * Entries that were not heard yet are taken to have our own demand. Without
- * that, entries that all start at once would each take the whole limit until
- * they hear of each other.
+ * Entries of unknown demand are assumed to have this entry's demand. Otherwise,
+ * entries that all start at once would each take the whole limit until the
+ * first gossip arrives.
  *
- * Only entries that are asked share the floor: of 295 entries some 30 are.
+ * Only entries with demand share the floor: of 295 entries about 30 have any.
  */
 double acct_share(const struct acct_table *t, const struct acct *a)
 {
-	const unsigned n = t->unreported ? t->entries : asked_entries(t);
+	const unsigned n = t->unreported ? t->entries : active_entries(t);
 	const double even = 1.0 / n;
-	const double floor = a->rate * FLOOR_PART * even;
+	const double floor = a->rate * FLOOR_RATIO * even;
 	const double own = own_demand(t, a);
 	const double mine = own + floor;
 	const double all =
@@ -181,39 +184,43 @@
 	return all > 0 ? mine / all : even;
 }
 
-/* The mean size of requests remembers so many; the first few weigh alike. */
+/*
+ * Number of requests in the moving average of the amount; until it is reached,
+ * all requests have the same weight.
+ */
 #define MEAN_REQUESTS 20
 
-/* A request below this part of the mean is small. */
-#define SMALL_PART 0.1
+/* A request below this fraction of the mean amount is small. */
+#define SMALL_RATIO 0.1
 
-/* Small ones are admitted down to a debt of so many usual requests. */
+/* Maximum debt at which small requests are admitted, in mean requests. */
 #define SMALL_DEBT 4.0
 
 /*
- * A bucket is not full at the start of the process: what the process before
- * it let through in this window is not known.
+ * Initial level of a bucket, relative to a full one. It is not full because it
+ * is unknown what the previous process admitted in this window.
  */
-#define START_PART 0.4
+#define START_RATIO 0.4
 
-/* A second, over all entries, with the overrun that we use. */
+/* Fill rate per second over all entries, with the overrun that is used. */
 static double rate_of(const struct acct_table *t, const struct acct *a)
 {
-	return a->rate * (1 + t->slack.rate_part * SLACK_PART);
+	return a->rate * (1 + t->slack.rate_part * SLACK_RATIO);
 }
 
 /*
- * What the bucket holds, over all entries. The slack stands in the burst;
- * spread over the window instead, as a higher rate, it served no more (mean
- * worth of both deployments within 0.004, twice).
+ * Capacity of the buckets over all entries. The slack is part of the burst.
+ * Spread over the window instead, as a higher rate, it served no more (mean
+ * worth, the score, of both deployments within 0.004, in two runs).
  */
 static double burst_of(const struct acct_table *t, const struct acct *a)
 {
-	return a->burst + (slow_facts(t) ? 0 : t->slack.amount * SLACK_PART);
+	return a->burst +
+	       (is_gossip_slow(t) ? 0 : t->slack.amount * SLACK_RATIO);
 }
 
-static void remember_telling(const struct acct_table *t, struct acct *a,
-			     int64_t now)
+static void record_report(const struct acct_table *t, struct acct *a,
+			  int64_t now)
 {
 	if (!t->current || now - a->reported_ms < t->gossip_delay_ms)
 		return;
@@ -227,31 +234,32 @@
 {
 	const double dt = (double)(now - a->at_ms);
 	const double share = acct_share(t, a);
-	const double most = burst_of(t, a) * share;
+	const double capacity = burst_of(t, a) * share;
 
 	a->demand = acct_demand(a, now);
 	a->at_ms = now;
-	remember_telling(t, a, now);
+	record_report(t, a, now);
 	if (a->is_new) {
-		a->level = most * (t->first_start ? 1 : START_PART);
+		a->level = capacity * (t->first_start ? 1 : START_RATIO);
 		a->is_new = false;
 	}
 	a->level += rate_of(t, a) * share * dt / 1000;
-	if (a->level > most)
-		a->level = most;
+	if (a->level > capacity)
+		a->level = capacity;
 }
 
 /*
- * The level above which a request of that size is admitted. A plain call of
- * 200 tokens does not wait for the debt of a prompt of 17,000: those calls
- * are a hundredth of an account's tokens, and were refused as often.
+ * The level above which a request of that amount is admitted. A plain call of
+ * 200 tokens need not wait for the debt of a prompt of 17,000 tokens: such
+ * calls are a hundredth of an account's tokens, and were refused as often as
+ * prompts.
  */
-static double lowest_level(const struct acct_table *t, const struct acct *a,
-			   double amount)
+static double min_level_for(const struct acct_table *t, const struct acct *a,
+			    double amount)
 {
 	if (calm(t, a))
 		return -a->mean_amount * CALM_DEBT;
-	return amount < a->mean_amount * SMALL_PART
+	return amount < a->mean_amount * SMALL_RATIO
 		       ? -a->mean_amount * SMALL_DEBT
 		       : 0;
 }
@@ -269,7 +277,7 @@
 bool acct_admit(struct acct_table *t, struct acct *a, double rate, double burst,
 		double amount, int64_t now, int64_t *after_ms)
 {
-	double fill, lowest;
+	double fill, min_level;
 
 	*after_ms = 0;
 	a->rate = rate;
@@ -282,17 +290,19 @@
 	if (rate <= 0)
 		return true;
 	/*
-	 * Whatever is left admits the next request whole: one that is larger
-	 * than this entry's share of a small limit must pass once in a while.
+	 * Any level above the minimum admits a request of any amount, as one
+	 * that exceeds this entry's share of a small limit must pass now and
+	 * then.
 	 */
-	lowest = lowest_level(t, a, amount);
-	if (a->level > lowest) {
+	min_level = min_level_for(t, a, amount);
+	if (a->level > min_level) {
 		a->level -= amount;
 		return true;
 	}
 	fill = rate_of(t, a) * acct_share(t, a);
-	*after_ms = fill > 0 ? (int64_t)((lowest - a->level) * 1000 / fill) + 1
-			     : 1000;
+	*after_ms =
+		fill > 0 ? (int64_t)((min_level - a->level) * 1000 / fill) + 1
+			 : 1000;
 	return false;
 }
 
--- a/lib/limit/admit.c
+++ b/lib/limit/admit.c
@@ -1,6 +1,6 @@
 #include "limit/admit.h"
 
-/* Callers without better advice come back after this. */
+/* Retry-After values for reasons that have no better estimate. */
 #define RETRY_SOON_MS 500
 #define RETRY_LATER_MS 2000
 
@@ -59,8 +59,11 @@
 	return names[r];
 }
 
-/* A tenth, as the supplied paper has it too; more only feeds the fault. */
-#define RETRY_PART 0.1
+/*
+ * Retries per request, as in the paper the design follows (more only amplifies
+ * a fault), and the maximum level.
+ */
+#define RETRY_RATIO 0.1
 #define RETRY_BURST 10.0
 
 void retry_budget_init(struct retry_budget *b)
@@ -70,7 +73,7 @@
 
 void retry_budget_earn(struct retry_budget *b)
 {
-	b->level += RETRY_PART;
+	b->level += RETRY_RATIO;
 	if (b->level > RETRY_BURST)
 		b->level = RETRY_BURST;
 }
--- a/lib/limit/again.c
+++ b/lib/limit/again.c
@@ -1,45 +1,46 @@
 #include "limit/again.h"
 
 /*
- * Of the slack, so much is held ready, and so much comes back within a
- * window: together with the part of the requests the sum over any window
- * stays below the limit also if an entry more than we know of is running.
+ * Fraction of the slack that may be available at once, fraction of it that is
+ * refilled per window, and fraction of the ratio that each request adds. With
+ * these, the sum over any window stays below the limit even if one entry more
+ * than known is running.
  */
-#define READY_PART 0.45
-#define BACK_PART 0.3
-#define RATIO_PART 0.65
+#define READY_RATIO 0.45
+#define REFILL_RATIO 0.3
+#define EARN_RATIO 0.65
 
 /*
- * Of what the requests of a window allow, so much may be saved up for later:
- * a reclaim moves all streams of a zone within a second. A window then has
- * at most this and the part above of it, 0.95 in all. With nothing saved an
- * entry of 84 could repeat one request at once, and half of the streams that
- * were to be moved were cut.
+ * Fraction of what the requests of a window allow that may be saved up, because
+ * a reclaim moves all streams of a zone within a second. A window then has at
+ * most this and EARN_RATIO of it, 0.95 in all. With nothing saved, one entry of
+ * 84 could retry one request at once, and half of the streams that were to be
+ * moved were cut.
  */
-#define SAVED_PART 0.3
+#define SAVED_RATIO 0.3
 
-static double most_saved(const struct again *b, const struct again_limits *l,
-			 unsigned entries, int64_t now)
+static double max_level(const struct again *b, const struct again_limits *l,
+			unsigned entries, int64_t now)
 {
 	const double requests =
 		fade_at(&b->requests, (double)l->window_ms, now);
 
-	return l->slack * READY_PART / entries +
-	       l->ratio * SAVED_PART * requests;
+	return l->slack * READY_RATIO / entries +
+	       l->ratio * SAVED_RATIO * requests;
 }
 
 static void advance(struct again *b, const struct again_limits *l,
 		    unsigned entries, int64_t now)
 {
-	const double most = most_saved(b, l, entries, now);
+	const double most = max_level(b, l, entries, now);
 
 	if (!b->started) {
 		b->started = true;
 		b->level = most;
 		b->at_ms = now;
 	}
-	b->level += l->slack * BACK_PART / entries * (double)(now - b->at_ms) /
-		    (double)l->window_ms;
+	b->level += l->slack * REFILL_RATIO / entries *
+		    (double)(now - b->at_ms) / (double)l->window_ms;
 	b->at_ms = now;
 	if (b->level > most)
 		b->level = most;
@@ -50,7 +51,7 @@
 {
 	advance(b, l, entries, now);
 	fade_add(&b->requests, 1, (double)l->window_ms, now);
-	b->level += l->ratio * RATIO_PART;
+	b->level += l->ratio * EARN_RATIO;
 }
 
 bool again_available(struct again *b, const struct again_limits *l,
@@ -72,6 +73,6 @@
 
 void again_refund(struct again *b)
 {
-	/* What is beyond the most that may be saved goes with the next look. */
+	/* The next advance() caps the level. */
 	b->level += 1;
 }
--- a/lib/limit/again.h
+++ b/lib/limit/again.h
@@ -1,9 +1,9 @@
 /*
- * again: the budget for sending requests a second time, held in sum over all
- * entries: a part of the requests, and each entry's part of a fixed slack.
+ * again: the retry budget of a service, which holds in sum over all entries: a
+ * fraction of the requests, plus each entry's part of a fixed slack.
  *
- * Without it a service that fails half of its requests would get one and a
- * half times the load just when it can bear it least.
+ * Without it a service that fails half of its requests would get 1.5 times the
+ * load when it is least able to handle it.
  */
 #ifndef AGAIN_H
 #define AGAIN_H
@@ -14,31 +14,34 @@
 #include "base/fade.h"
 
 struct again_limits {
-	double ratio; /* repeats for each request */
-	double slack; /* repeats in a window beyond that, over all entries */
+	double ratio; /* retries per request */
+	double slack; /* further retries per window, over all entries */
 	int64_t window_ms;
 };
 
 struct again {
-	double level;
-	struct fade requests; /* of about the last window */
+	double level;	      /* retries available */
+	struct fade requests; /* about the number in the last window */
 	int64_t at_ms;
 	bool started;
 };
 
-/* A request for the service came; `entries` share the slack. */
+/*
+ * Counts a request for the service, which adds to the budget. `entries`: the
+ * number of entries that share the slack.
+ */
 void again_earn(struct again *b, const struct again_limits *l, unsigned entries,
 		int64_t now_ms);
 
-/* True if a repeat could be sent now. */
+/* True if a retry could be sent now. */
 bool again_available(struct again *b, const struct again_limits *l,
 		     unsigned entries, int64_t now_ms);
 
-/* True if a repeat may be sent; it is then counted. */
+/* Takes a retry from the budget; false if there is none. */
 bool again_spend(struct again *b, const struct again_limits *l,
 		 unsigned entries, int64_t now_ms);
 
-/* A repeat that was counted did not reach an endpoint. */
+/* Returns a retry that was taken but reached no endpoint. */
 void again_refund(struct again *b);
 
 #endif
--- a/lib/limit/share.c
+++ b/lib/limit/share.c
@@ -12,26 +12,27 @@
 
 #define NR_BUCKETS 256
 
-struct given {
+/* The share granted to one entry. */
+struct grant {
 	struct cds_list_head bucket;
-	struct cds_list_head age; /* oldest first */
-	uint64_t who;
+	struct cds_list_head age; /* oldest grant first */
+	uint64_t entry;		  /* its id */
 	double demand;
 	double rate;
-	int64_t until_ms;
-	double high; /* a higher rate given before, still in force maybe */
+	int64_t until_ms; /* end of validity */
+	double high; /* a higher rate granted before, possibly still in use */
 	int64_t high_until_ms;
-	double counted; /* what `out` holds for this entry */
+	double counted; /* the higher of rate and high */
 };
 
 struct share_keeper {
 	double limit;
 	double scale;
-	double out;
-	double demand;
-	int64_t quiet_ms;
+	double granted_sum;	    /* sum of `counted` */
+	double demand;		    /* of all entries */
+	int64_t no_grants_until_ms; /* grants nothing before this time */
 	size_t members;
-	size_t nr_given;
+	size_t nr_grants;
 	struct cds_list_head buckets[NR_BUCKETS];
 	struct cds_list_head by_age;
 };
@@ -45,34 +46,34 @@
 	k->limit = limit;
 	k->scale = 1.0;
 	k->members = members;
-	k->quiet_ms = now_ms + SHARE_TTL_MS;
+	k->no_grants_until_ms = now_ms + SHARE_TTL_MS;
 	for (i = 0; i < NR_BUCKETS; i++)
 		CDS_INIT_LIST_HEAD(&k->buckets[i]);
 	CDS_INIT_LIST_HEAD(&k->by_age);
 	return k;
 }
 
-static void forget(struct share_keeper *k, struct given *g)
+static void drop_grant(struct share_keeper *k, struct grant *g)
 {
-	k->out -= g->counted;
+	k->granted_sum -= g->counted;
 	k->demand -= g->demand;
-	k->nr_given--;
+	k->nr_grants--;
 	cds_list_del(&g->bucket);
 	cds_list_del(&g->age);
 	free(g);
-	/* Floating sums drift; nothing out is exactly nothing. */
+	/* Floating-point sums drift: reset them when nothing is granted. */
 	if (cds_list_empty(&k->by_age))
-		k->out = k->demand = 0;
+		k->granted_sum = k->demand = 0;
 }
 
 void share_keeper_free(struct share_keeper *k)
 {
-	struct given *g, *tmp;
+	struct grant *g, *tmp;
 
 	if (!k)
 		return;
 	cds_list_for_each_entry_safe(g, tmp, &k->by_age, age)
-		forget(k, g);
+		drop_grant(k, g);
 	free(k);
 }
 
@@ -91,91 +92,93 @@
 
 static void expire(struct share_keeper *k, int64_t now_ms)
 {
-	struct given *g, *tmp;
+	struct grant *g, *tmp;
 
 	cds_list_for_each_entry_safe(g, tmp, &k->by_age, age) {
 		if (g->until_ms > now_ms)
 			break;
-		forget(k, g);
+		drop_grant(k, g);
 	}
 }
 
-static struct given *find_or_add(struct share_keeper *k, uint64_t who)
+static struct grant *find_or_add(struct share_keeper *k, uint64_t entry)
 {
 	struct cds_list_head *head =
-		&k->buckets[hsh_rendezvous(who, 0) % NR_BUCKETS];
-	struct given *g;
+		&k->buckets[hsh_rendezvous(entry, 0) % NR_BUCKETS];
+	struct grant *g;
 
 	cds_list_for_each_entry(g, head, bucket) {
-		if (g->who == who)
+		if (g->entry == entry)
 			return g;
 	}
 	g = mem_new(sizeof(*g));
-	g->who = who;
-	k->nr_given++;
+	g->entry = entry;
+	k->nr_grants++;
 	cds_list_add(&g->bucket, head);
 	cds_list_add_tail(&g->age, &k->by_age);
 	return g;
 }
 
-static void renew(struct share_keeper *k, struct given *g, int64_t now_ms)
+static void renew(struct share_keeper *k, struct grant *g, int64_t now_ms)
 {
 	g->until_ms = now_ms + SHARE_TTL_MS;
 	cds_list_del(&g->age);
 	cds_list_add_tail(&g->age, &k->by_age);
 }
 
-/* What an entry has from the keeper before counts as given by this one. */
-static void learn(struct share_keeper *k, struct given *g, double in_use,
-		  int64_t now_ms)
+/* Takes over a share that the previous keeper granted. */
+static void adopt_grant(struct share_keeper *k, struct grant *g, double in_use,
+			int64_t now_ms)
 {
-	k->out += in_use - g->counted;
+	k->granted_sum += in_use - g->counted;
 	g->rate = in_use;
 	g->counted = in_use;
 	renew(k, g, now_ms);
 }
 
 /*
- * In proportion to demand; what nobody asks for is spread over all members,
- * so that a request to an idle entry need not wait for its share to grow.
+ * The share for a demand, in proportion to the sum of demands. Capacity beyond
+ * that sum is spread evenly over all members, so that a request at an idle
+ * entry need not wait for its share to grow.
  */
-static double wanted(const struct share_keeper *k, double demand, double total)
+static double share_for(const struct share_keeper *k, double demand,
+			double total)
 {
-	const size_t n = k->nr_given > k->members ? k->nr_given : k->members;
+	const size_t n = k->nr_grants > k->members ? k->nr_grants : k->members;
 
 	if (k->demand > total)
 		return total * demand / k->demand;
 	return demand + (total - k->demand) / (double)(n ? n : 1);
 }
 
-double share_keeper_request(struct share_keeper *k, uint64_t who, double demand,
-			    double in_use, int64_t now_ms)
+double share_keeper_request(struct share_keeper *k, uint64_t entry,
+			    double demand, double in_use, int64_t now_ms)
 {
 	double total, want, room, counted;
-	struct given *g;
+	struct grant *g;
 
 	if (!(demand >= 0) || !isfinite(demand) || !(in_use >= 0) ||
 	    !isfinite(in_use))
 		return 0;
 	expire(k, now_ms);
-	g = find_or_add(k, who);
+	g = find_or_add(k, entry);
 	k->demand += demand - g->demand;
 	g->demand = demand;
-	if (now_ms < k->quiet_ms) {
-		learn(k, g, in_use, now_ms);
-		if (k->nr_given < k->members)
+	if (now_ms < k->no_grants_until_ms) {
+		adopt_grant(k, g, in_use, now_ms);
+		if (k->nr_grants < k->members)
 			return -1;
-		k->quiet_ms = now_ms;
+		k->no_grants_until_ms = now_ms;
 	}
 	total = k->limit * (1.0 - SHARE_FLOOR) * k->scale;
-	want = wanted(k, demand, total);
-	room = total - (k->out - g->counted);
+	want = share_for(k, demand, total);
+	room = total - (k->granted_sum - g->counted);
 	if (want > room)
 		want = room > 0 ? room : 0;
 	/*
-	 * The answer with a lower share may get lost, and the entry would go
-	 * on at the old one; so that counts as out until it has run out or
-	 * the entry says that it goes by the lower one.
+	 * The response with a lower share may get lost, and the entry would
+	 * keep using the old one. The old share therefore counts as granted
+	 * until it expires or the entry reports that it uses the lower one.
 	 */
 	if (now_ms >= g->high_until_ms || in_use <= g->rate + 1e-9)
 		g->high = 0;
@@ -184,7 +187,7 @@
 		g->high_until_ms = g->until_ms;
 	}
 	counted = fmax(want, g->high);
-	k->out += counted - g->counted;
+	k->granted_sum += counted - g->counted;
 	g->counted = counted;
 	g->rate = want;
 	renew(k, g, now_ms);
@@ -193,15 +196,15 @@
 
 double share_keeper_granted(const struct share_keeper *k)
 {
-	return k->out;
+	return k->granted_sum;
 }
 
 /* ---- Entry ---- */
 
-/* A bucket holds three seconds' worth: bursts pass, floods do not. */
+/* Capacity of a bucket in seconds of its rate: admits bursts, not floods. */
 #define BURST_S 3.0
 
-/* Demand is an average over about this long. */
+/* Time constant of the demand's decay, in seconds. */
 #define DEMAND_TAU_S 2.0
 
 double share_in_use(const struct share *s, int64_t now_ms)
@@ -256,8 +259,8 @@
 	refill(s, now_ms);
 	s->demand += cost / DEMAND_TAU_S;
 	/*
-	 * A request larger than the bucket may pass when the bucket is full,
-	 * and leaves a debt; else it could never pass at all.
+	 * A request larger than the bucket passes when the bucket is full, and
+	 * leaves a debt; otherwise it could never pass.
 	 */
 	if (s->level >= cost || s->level >= rate * BURST_S * 0.99) {
 		s->level -= cost;
--- a/lib/limit/share.h
+++ b/lib/limit/share.h
@@ -1,13 +1,16 @@
 /*
- * share: a client account's limit, held across entries without a call per
- * request. Pure.
+ * share: a client account's rate limit, divided among entries without a remote
+ * call per request. Pure.
  *
- * For each account one entry, by rendezvous hash over the view, is the
- * keeper. Entries report their demand about once a second while they have
- * any, and get a share of the limit for a short time; shares follow demand.
- * The keeper never has more out than the limit less the floor. An entry
- * without a valid share uses its part of the floor, which is set aside for
- * that, so one that is cut off still cannot push the sum over the limit.
+ * For each account one entry is the keeper, chosen by rendezvous hashing over
+ * the membership view. Entries with demand report it every other second
+ * (SHARE_REQUEST_MS) and are granted a share of the limit for a short time, in
+ * proportion to demand. The sum of the shares granted never exceeds the limit
+ * less the floor. An entry without a valid share uses its part of the floor,
+ * which is reserved for that, so that a partitioned entry cannot push the sum
+ * over the limit.
+ *
+ * Limits, shares and demands are in tokens per second.
  */
 #ifndef SHARE_H
 #define SHARE_H
@@ -16,13 +19,13 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Part of the limit that is set aside for entries without a share. */
+/* Fraction of the limit that is reserved for entries without a share. */
 #define SHARE_FLOOR 0.2
 
 /*
- * A share is valid so long, counted by the entry from before it asked. It is
- * asked for every other second; the rest is there so that the death of a keeper
- * leaves the shares as they are until the next view has a new one.
+ * Validity of a share, which the entry counts from before its request, and the
+ * interval of these requests. The validity is much longer, so that shares
+ * outlast a crash of the keeper until the next view has a new one.
  */
 #define SHARE_TTL_MS 10000
 #define SHARE_REQUEST_MS 2000
@@ -30,67 +33,73 @@
 struct share_keeper;
 
 /*
- * A new keeper gives nothing until it knows what its forerunner gave: until
- * all `members` entries told it what they use, or one TTL after `now_ms`.
+ * A new keeper grants nothing until it knows what its predecessor granted:
+ * until all `members` entries have reported the share they use, or SHARE_TTL_MS
+ * after `now_ms`. To be freed with share_keeper_free().
  */
 struct share_keeper *share_keeper_create(double limit, size_t members,
 					 int64_t now_ms);
 void share_keeper_free(struct share_keeper *k);
 
-/* The document changed the limit. Lowering takes effect as shares end. */
+/* Changes the limit. A lower one takes effect as shares expire. */
 void share_keeper_set_limit(struct share_keeper *k, double limit);
 
 /*
- * Scales what may be out to the part of the view that is believed alive, so
- * that two sides of a partition cannot both give the whole limit.
+ * Scales the grantable sum to the fraction of the view considered alive, so
+ * that two sides of a partition cannot both grant the whole limit.
  */
 void share_keeper_scale(struct share_keeper *k, size_t alive, size_t members);
 
 /*
- * Entry `who` has a demand of `demand` tokens per second and goes by a share
- * of `in_use` now, which confirms what it was given last. Returns its share
- * for the next SHARE_TTL_MS, or -1 while the keeper is new: the entry then
- * goes on with what it has. Costs the same for any number of entries.
+ * Handles a request of entry `entry`, which reports its demand and the share it
+ * uses now; the latter confirms the last grant. Returns its share for the next
+ * SHARE_TTL_MS, or -1 while the keeper is new: the entry then keeps its old
+ * one. Returns 0 for invalid numbers. Takes the same time for any number of
+ * entries.
  */
-double share_keeper_request(struct share_keeper *k, uint64_t who, double demand,
-			    double in_use, int64_t now_ms);
+double share_keeper_request(struct share_keeper *k, uint64_t entry,
+			    double demand, double in_use, int64_t now_ms);
 
-/* What is out now, in tokens per second. */
+/* The sum of the shares granted now. */
 double share_keeper_granted(const struct share_keeper *k);
 
 /* The entry's side: a token bucket filled at the rate of its share. */
 struct share {
 	double limit;
 	size_t members;
-	double rate; /* while valid */
-	int64_t valid_ms;
-	double level; /* tokens that may be used now */
+	double rate;	  /* the share, while valid */
+	int64_t valid_ms; /* end of its validity */
+	double level;	  /* tokens in the bucket */
 	int64_t last_ms;
-	double demand; /* decayed tokens per second asked for */
+	double demand; /* exponentially decayed */
 };
 
 void share_init(struct share *s, double limit, size_t members, int64_t now_ms);
 
-/* A share came (-1: keep the old one); `asked_ms` is from before it was asked for. */
+/*
+ * The keeper granted a share (-1: keep the old one). `asked_ms`: a time before
+ * the request for it was sent.
+ */
 void share_update(struct share *s, double rate, int64_t asked_ms);
 
-/* The keeper's share that is in use now; 0 without one. */
+/* The granted share that is in use now; 0 without a valid one. */
 double share_in_use(const struct share *s, int64_t now_ms);
 
-/* The rate in force now: the share, or the floor without one. */
+/* The bucket's rate: the share in use plus this entry's part of the floor. */
 double share_rate(const struct share *s, int64_t now_ms);
 
 /*
- * Takes `cost` tokens. False if the bucket is empty; `*retry_ms` (may be
- * NULL) is then when it will do. Demand is noted either way.
+ * Takes `cost` tokens. Returns false if the bucket has too few; *retry_ms is
+ * then the time in ms until it has enough (`retry_ms` may be NULL). The cost
+ * counts as demand either way.
  */
 bool share_take(struct share *s, double cost, int64_t now_ms,
 		int64_t *retry_ms);
 
-/* Gives back what an answer did not use. */
+/* Returns tokens that were taken but not used. */
 void share_refund(struct share *s, double cost);
 
-/* True if the keeper should be asked now. */
+/* True if a request to the keeper is due. */
 bool share_is_due(const struct share *s, int64_t now_ms);
 
 #endif
--- a/lib/limit/wfq.c
+++ b/lib/limit/wfq.c
@@ -5,12 +5,13 @@
 
 #include "base/buf.h"
 
-/* Accounts of one model; a document holds at most 32. */
+/* Maximum number of accounts; a configuration has at most 32. */
 #define MAX_FLOWS 64
 
+/* The items of one client account. */
 struct flow {
 	uint64_t id;
-	double finish;
+	double finish; /* virtual finish time of the last item */
 	struct cds_list_head items;
 	size_t count;
 	double backlog; /* cost queued */
@@ -22,7 +23,7 @@
 	size_t max;
 	size_t count;
 	double backlog;
-	double vtime;
+	double vtime; /* virtual time */
 	uint64_t next_seq;
 	struct flow flows[MAX_FLOWS];
 	size_t nr_flows;
@@ -42,7 +43,10 @@
 	free(q);
 }
 
-/* An idle flow whose time has passed owes nothing: its place is reused. */
+/*
+ * Returns the flow, made if there is none; NULL if there is no room. An empty
+ * flow whose finish time has passed has no debt, so its slot is reused.
+ */
 static struct flow *flow_for(struct wfq *q, uint64_t id)
 {
 	struct flow *idle = NULL;
@@ -145,7 +149,7 @@
 	struct flow *f = flow_for(q, it->flow);
 
 	assert(f && f->count);
-	/* Give back the flow's time, or going away would cost the account. */
+	/* Refund the virtual time: the account did not use it. */
 	f->finish -= it->cost / (it->weight > 0 ? it->weight : 1.0);
 	take_out(q, f, it);
 }
@@ -181,8 +185,9 @@
 }
 
 /*
- * By then each flow has been served up to the new item's finish time, as far
- * as it has work: a sum over flows, however many items wait.
+ * When the new item is served, each flow has been served up to the item's
+ * virtual finish time, as far as it has work. This takes a sum over flows,
+ * independent of the number of items.
  */
 double wfq_ahead(const struct wfq *q, uint64_t flow, double weight, double cost)
 {
--- a/tests/test_acct.c
+++ b/tests/test_acct.c
@@ -1,4 +1,4 @@
-/* Limits held in sum over entries that know of each other with a delay. */
+/* Account limits and retry budgets, in sum over entries with delayed gossip. */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,29 +8,29 @@
 #include "support/unit.h"
 
 #define ENTRIES 8
-#define MOST_ENTRIES 295
+#define MAX_ENTRIES 295
 #define WINDOW_MS 8000
-#define TELL_MS 200
+#define GOSSIP_MS 200
 #define SLACK 190000.0
 
-/* What the limits' owner would see: every admitted request. */
-struct seen {
+/* All admitted requests, over all entries. */
+struct admissions {
 	int64_t at[200000];
 	double amount[200000];
 	size_t n;
 };
 
-static struct seen seen;
+static struct admissions admissions;
 
 static double worst_window(void)
 {
 	double sum = 0, worst = 0;
 	size_t from = 0, i;
 
-	for (i = 0; i < seen.n; i++) {
-		sum += seen.amount[i];
-		while (seen.at[i] - seen.at[from] >= WINDOW_MS)
-			sum -= seen.amount[from++];
+	for (i = 0; i < admissions.n; i++) {
+		sum += admissions.amount[i];
+		while (admissions.at[i] - admissions.at[from] >= WINDOW_MS)
+			sum -= admissions.amount[from++];
 		if (sum > worst)
 			worst = sum;
 	}
@@ -38,16 +38,16 @@
 }
 
 struct sim {
-	struct acct_table t[MOST_ENTRIES];
-	int entries; /* that share the limit */
-	int serving; /* of them, those that callers are sent to */
-	int tell_ms; /* each hears of all others this often */
+	struct acct_table t[MAX_ENTRIES];
+	int entries;   /* that share the limit */
+	int serving;   /* of them, those that clients are directed to */
+	int gossip_ms; /* interval of the exchange of all demands */
 	struct rnd rnd;
 	double rate, burst;
 	double offered, admitted;
-	bool silent;	/* nobody hears of anybody */
-	int64_t cut_ms; /* two sides do not hear each other since; 0: they do */
-	double at_cut[MOST_ENTRIES]; /* demands when they last did */
+	bool no_gossip;	      /* no gossip is exchanged */
+	int64_t partition_ms; /* start of a network partition; 0: none */
+	double demand_at_partition[MAX_ENTRIES]; /* demands at its start */
 };
 
 static void start_entry(struct sim *s, int i, bool first)
@@ -58,28 +58,29 @@
 	s->t[i].entries = (unsigned)s->entries;
 	s->t[i].unreported = (unsigned)s->entries - 1;
 	s->t[i].first_start = first;
-	s->t[i].gossip_delay_ms = s->tell_ms;
+	s->t[i].gossip_delay_ms = s->gossip_ms;
 }
 
-/* Every third entry is on the smaller side of a cut. */
-static bool apart(const struct sim *s, int i, int k)
+/* True if a partition separates i and k: every third entry is on one side. */
+static bool is_partitioned(const struct sim *s, int i, int k)
 {
-	return s->cut_ms && (i % 3 == 0) != (k % 3 == 0);
+	return s->partition_ms && (i % 3 == 0) != (k % 3 == 0);
 }
 
-static void cut(struct sim *s, int64_t now)
+static void start_partition(struct sim *s, int64_t now)
 {
 	int i;
 
-	s->cut_ms = now;
+	s->partition_ms = now;
 	for (i = 0; i < s->entries; i++)
-		s->at_cut[i] = acct_demand(acct_get(&s->t[i], "x", now), now);
+		s->demand_at_partition[i] =
+			acct_demand(acct_get(&s->t[i], "x", now), now);
 }
 
-/* A part of the others is noticed to be silent after a second. */
+/* False a second after a partition began, when it is noticed. */
 static bool current(const struct sim *s, int64_t now)
 {
-	return !s->cut_ms || now < s->cut_ms + 1000;
+	return !s->partition_ms || now < s->partition_ms + 1000;
 }
 
 static void exchange(struct sim *s, int64_t now)
@@ -100,10 +101,11 @@
 				acct_demand(acct_get(&s->t[k], "x", now), now) >
 				0;
 			a->demand_elsewhere +=
-				apart(s, i, k) ? s->at_cut[k]
-					       : acct_demand(acct_get(&s->t[k],
-								      "x", now),
-							     now);
+				is_partitioned(s, i, k)
+					? s->demand_at_partition[k]
+					: acct_demand(acct_get(&s->t[k], "x",
+							       now),
+						      now);
 		}
 		acct_tick(&s->t[i], now);
 	}
@@ -121,19 +123,23 @@
 		return;
 	}
 	s->admitted += amount;
-	seen.at[seen.n] = now;
-	seen.amount[seen.n++] = amount;
+	admissions.at[admissions.n] = now;
+	admissions.amount[admissions.n++] = amount;
 }
 
-/* Demand is `x` times the rate, spread by `skew` over the entries. */
-static void play(struct sim *s, int64_t from, int64_t to, double x, int skew)
+/*
+ * Sends requests with a demand of `x` times the rate. Three quarters of them go
+ * to the first `skew` entries; 0: evenly to all that serve.
+ */
+static void send_load(struct sim *s, int64_t from, int64_t to, double x,
+		      int skew)
 {
 	const double mean = 12000;
 	double due = 0;
 	int64_t now;
 
 	for (now = from; now < to; now++) {
-		if (now % s->tell_ms == 0 && !s->silent)
+		if (now % s->gossip_ms == 0 && !s->no_gossip)
 			exchange(s, now);
 		due += x * s->rate / 1000;
 		while (due > 0) {
@@ -150,16 +156,16 @@
 	}
 }
 
-static void open_fleet(struct sim *s, int entries, int serving, int tell_ms,
-		       double rate, double burst, uint64_t seed)
+static void init_entries(struct sim *s, int entries, int serving, int gossip_ms,
+			 double rate, double burst, uint64_t seed)
 {
 	int i;
 
 	memset(s, 0, sizeof(*s));
 	s->entries = entries;
 	s->serving = serving;
-	s->tell_ms = tell_ms;
-	seen.n = 0;
+	s->gossip_ms = gossip_ms;
+	admissions.n = 0;
 	s->rate = rate;
 	s->burst = burst;
 	rnd_seed(&s->rnd, seed);
@@ -167,12 +173,12 @@
 		start_entry(s, i, true);
 }
 
-static void open_sim(struct sim *s, double rate, double burst, uint64_t seed)
+static void init_sim(struct sim *s, double rate, double burst, uint64_t seed)
 {
-	open_fleet(s, ENTRIES, ENTRIES, TELL_MS, rate, burst, seed);
+	init_entries(s, ENTRIES, ENTRIES, GOSSIP_MS, rate, burst, seed);
 }
 
-static void close_sim(struct sim *s)
+static void free_sim(struct sim *s)
 {
 	int i;
 
@@ -194,20 +200,20 @@
 		for (seed = 1; seed <= 6; seed++) {
 			struct sim s;
 
-			open_sim(&s, rates[i], rates[i], seed);
-			play(&s, 0, 6000, 0.5, 0);
-			play(&s, 6000, 24000, 6, seed % 3);
-			play(&s, 24000, 30000, 0.6, 0);
+			init_sim(&s, rates[i], rates[i], seed);
+			send_load(&s, 0, 6000, 0.5, 0);
+			send_load(&s, 6000, 24000, 6, seed % 3);
+			send_load(&s, 24000, 30000, 0.6, 0);
 			CU_ASSERT(worst_window() < bound(&s));
-			close_sim(&s);
+			free_sim(&s);
 		}
 	}
 }
 
 /*
- * The pattern: 24 of 84 entries are named to callers, facts are 0.6 s old,
- * and an account sends six times its limit at once, each request as large as
- * a third of a second of the limit.
+ * Clients are directed to 24 of 84 entries, gossip is 0.6 s old, and an account
+ * sends six times its limit at once, each request as large as a third of a
+ * second of the limit.
  */
 static void sum_stays_below_the_limit_on_many_entries(void)
 {
@@ -219,79 +225,78 @@
 		for (seed = 1; seed <= 4; seed++) {
 			struct sim s;
 
-			open_fleet(&s, 84, serving[i / 3], 600, rates[i % 3],
-				   rates[i % 3], seed);
-			play(&s, 0, 6000, 0.5, 0);
-			play(&s, 6000, 20000, 6, 0);
+			init_entries(&s, 84, serving[i / 3], 600, rates[i % 3],
+				     rates[i % 3], seed);
+			send_load(&s, 0, 6000, 0.5, 0);
+			send_load(&s, 6000, 20000, 6, 0);
 			CU_ASSERT(worst_window() < bound(&s));
-			close_sim(&s);
+			free_sim(&s);
 		}
 	}
 }
 
 /*
- * Symptom: an account ran one and a half times its limit. Sequence: one
- * account sends six times its usual; all entries are killed and start again
- * at once. Cause: each entry, before it heard of the others, took the whole
- * limit for its own, with a full bucket.
+ * Failure: an account got one and a half times its limit. It sent six times its
+ * usual demand while all entries were killed and restarted at once. Each entry
+ * took the whole limit, with a full bucket, until the first gossip arrived.
  */
-static void restart_of_all_entries_gives_nothing_away(void)
+static void limit_holds_across_a_restart_of_all_entries(void)
 {
 	const unsigned long seeds = unit_seeds(8);
-	unsigned long seed, over = 0;
+	unsigned long seed, violations = 0;
 	int i;
 
 	for (seed = 1; seed <= seeds; seed++) {
 		struct sim s;
 
-		open_sim(&s, 155000, 155000, seed);
-		play(&s, 0, 9000, 6, 0);
-		close_sim(&s);
+		init_sim(&s, 155000, 155000, seed);
+		send_load(&s, 0, 9000, 6, 0);
+		free_sim(&s);
 		for (i = 0; i < ENTRIES; i++)
 			start_entry(&s, i, false);
-		/* The first datagrams come after the first registrations. */
-		s.silent = true;
-		play(&s, 9600, 10600, 6, 0);
-		s.silent = false;
-		play(&s, 10600, 18000, 6, 0);
-		over += worst_window() >= bound(&s);
-		close_sim(&s);
+		/* The first gossip arrives after the first registrations. */
+		s.no_gossip = true;
+		send_load(&s, 9600, 10600, 6, 0);
+		s.no_gossip = false;
+		send_load(&s, 10600, 18000, 6, 0);
+		violations += worst_window() >= bound(&s);
+		free_sim(&s);
 	}
-	CU_ASSERT_EQUAL(over, 0);
-	unit_report("limits after a restart of all", seeds, over);
+	CU_ASSERT_EQUAL(violations, 0);
+	unit_report("limits after a restart of all", seeds, violations);
 }
 
 /*
- * The twin that does not count unheard entries, takes what it knows for
- * current, and begins with full buckets.
+ * The faulty variant does not count entries of unknown demand, takes what it
+ * knows for current, and starts with full buckets.
  */
-static void twin_without_unheard_entries_is_caught(void)
+static void variant_that_ignores_unknown_demand_is_detected(void)
 {
-	unsigned seed, over = 0;
+	unsigned seed, violations = 0;
 	int i;
 
 	for (seed = 1; seed <= 8; seed++) {
 		struct sim s;
 
-		open_sim(&s, 155000, 155000, seed);
-		play(&s, 0, 9000, 6, 0);
-		close_sim(&s);
+		init_sim(&s, 155000, 155000, seed);
+		send_load(&s, 0, 9000, 6, 0);
+		free_sim(&s);
 		for (i = 0; i < ENTRIES; i++) {
 			start_entry(&s, i, true);
 			s.t[i].unreported = 0;
 			s.t[i].current = true;
 		}
-		s.silent = true;
-		play(&s, 9600, 10600, 6, 0);
-		s.silent = false;
-		play(&s, 10600, 18000, 6, 0);
-		over += worst_window() >= bound(&s);
-		close_sim(&s);
+		s.no_gossip = true;
+		send_load(&s, 9600, 10600, 6, 0);
+		s.no_gossip = false;
+		send_load(&s, 10600, 18000, 6, 0);
+		violations += worst_window() >= bound(&s);
+		free_sim(&s);
 	}
-	CU_ASSERT(over > 0);
+	CU_ASSERT(violations > 0);
 }
 
-/* An account within its limit is not refused, wherever its callers are. */
+/* An account within its limit is not refused, however its demand is spread. */
 static void usual_demand_is_admitted(void)
 {
 	unsigned seed;
@@ -299,27 +304,27 @@
 	for (seed = 1; seed <= 5; seed++) {
 		struct sim s;
 
-		open_sim(&s, 60000, 60000, seed);
-		play(&s, 0, 3000, 0.3, 0);
+		init_sim(&s, 60000, 60000, seed);
+		send_load(&s, 0, 3000, 0.3, 0);
 		s.offered = s.admitted = 0;
-		play(&s, 3000, 30000, 0.55, seed % 2 ? 2 : 0);
+		send_load(&s, 3000, 30000, 0.55, seed % 2 ? 2 : 0);
 		CU_ASSERT(s.admitted > 0.99 * s.offered);
-		close_sim(&s);
+		free_sim(&s);
 	}
 }
 
 /*
- * Symptom: at 295 entries the largest account ran 1.14 of what is allowed.
- * Sequence: it begins to send six times its usual; half a second later a third
- * of the entries is cut off from the others for twelve seconds. Cause: what
- * each side last knew of the other was from the beginning of the burst, and
- * against that old word each reckoned its own demand of now.
+ * Failure: with 295 entries the largest account got 1.14 times what is allowed.
+ * It began to send six times its usual demand; half a second later a third of
+ * the entries was partitioned from the others for twelve seconds. Each side
+ * compared its current demand with the other side's demand from the start of
+ * the burst.
  */
-static void a_burst_across_a_cut_stays_below_the_limit(void)
+static void a_burst_across_a_partition_stays_below_the_limit(void)
 {
 	static const double rates[] = { 250000, 500000, 1000000, 2000000 };
 	const unsigned long seeds = unit_seeds(2);
-	unsigned long seed, over = 0, played = 0;
+	unsigned long seed, violations = 0, runs = 0;
 	unsigned i, k;
 
 	for (i = 0; i < 4; i++) {
@@ -329,65 +334,65 @@
 			struct sim s;
 
 			seed = k / 6 + 1;
-			open_fleet(&s, 295, k % 2 ? 24 : 48, 600, rates[i],
-				   rates[i], seed);
-			play(&s, 0, 2500, 0.55, 0);
-			play(&s, 2500, 3000, x, 0);
-			cut(&s, 3000);
-			play(&s, 3000, 15000, x, 0);
-			over += worst_window() >= bound(&s);
-			played++;
-			close_sim(&s);
+			init_entries(&s, 295, k % 2 ? 24 : 48, 600, rates[i],
+				     rates[i], seed);
+			send_load(&s, 0, 2500, 0.55, 0);
+			send_load(&s, 2500, 3000, x, 0);
+			start_partition(&s, 3000);
+			send_load(&s, 3000, 15000, x, 0);
+			violations += worst_window() >= bound(&s);
+			runs++;
+			free_sim(&s);
 		}
 	}
-	CU_ASSERT_EQUAL(over, 0);
-	unit_report("limits of bursts across a cut", played, over);
+	CU_ASSERT_EQUAL(violations, 0);
+	unit_report("limits of bursts across a partition", runs, violations);
 }
 
 /*
- * Symptom: at 295 entries the largest account ran 1.14 of what is allowed in
- * the first eight seconds of traffic. Sequence: all entries know each other,
- * and that nobody is asked for anything; then requests come to 48 of them, and
- * half a second later six times as many. Cause: each took itself for the only
- * one that is asked, with the whole burst and rate for its part, until it had
- * heard of the others' demand.
+ * Failure: with 295 entries the largest account got 1.14 times what is allowed
+ * in the first eight seconds of traffic. All entries knew each other and that
+ * there was no demand; then requests came to 48 of them, and half a second
+ * later six times as many. Each entry took itself for the only one with demand,
+ * with the whole burst and rate as its share, until the first gossip of demand
+ * arrived.
  */
 static void the_first_requests_get_no_more_than_the_limit(void)
 {
 	static const double rates[] = { 250000, 500000, 1000000, 2000000 };
 	const unsigned long seeds = unit_seeds(2);
-	unsigned long seed, over = 0, played = 0;
+	unsigned long seed, violations = 0, runs = 0;
 	unsigned i;
 
 	for (i = 0; i < 8; i++) {
 		for (seed = 1; seed <= seeds; seed++) {
 			struct sim s;
 
-			open_fleet(&s, 295, i < 4 ? 24 : 48, 600, rates[i % 4],
-				   rates[i % 4], seed);
+			init_entries(&s, 295, i < 4 ? 24 : 48, 600,
+				     rates[i % 4], rates[i % 4], seed);
 			exchange(&s, 0);
-			play(&s, 1, 500, 0.55, 0);
-			play(&s, 500, 11500, 3.3, 0);
-			over += worst_window() >= bound(&s);
-			played++;
-			close_sim(&s);
+			send_load(&s, 1, 500, 0.55, 0);
+			send_load(&s, 500, 11500, 3.3, 0);
+			violations += worst_window() >= bound(&s);
+			runs++;
+			free_sim(&s);
 		}
 	}
-	CU_ASSERT_EQUAL(over, 0);
-	unit_report("limits of the first requests", played, over);
+	CU_ASSERT_EQUAL(violations, 0);
+	unit_report("limits of the first requests", runs, violations);
 }
 
 /*
- * The pattern: an account asks for its limit and somewhat more, and what the
- * entries know of that rises and falls by a quarter. Each time they take it for
- * calm, 48 of them may let some prompts through on debt.
+ * An account's demand is about its limit, and the sum known to the entries
+ * varies by a quarter. Whenever they consider it calm, 48 of them may admit
+ * some prompts on debt.
  */
-static void hovering_at_the_limit_stays_below_it(void)
+static void demand_close_to_the_limit_stays_below_it(void)
 {
 	static const double rates[] = { 100000, 250000, 500000, 2000000 };
 	static const double times[] = { 0.8, 0.9, 1.0, 1.2, 1.5, 2.5 };
 	const unsigned long seeds = unit_seeds(2);
-	unsigned long seed, over = 0, played = 0;
+	unsigned long seed, violations = 0, runs = 0;
 	unsigned i, k;
 
 	for (i = 0; i < 24; i++) {
@@ -395,27 +400,27 @@
 			struct sim s;
 
 			seed = k / 2 + 1;
-			open_fleet(&s, 295, k % 2 ? 24 : 48, 600, rates[i % 4],
-				   rates[i % 4], seed);
-			play(&s, 0, 6000, times[i / 4], 0);
-			play(&s, 6000, 9000, 0.6, 0);
-			play(&s, 9000, 20000, times[i / 4] + 0.2, 0);
-			over += worst_window() >= bound(&s);
-			played++;
-			close_sim(&s);
+			init_entries(&s, 295, k % 2 ? 24 : 48, 600,
+				     rates[i % 4], rates[i % 4], seed);
+			send_load(&s, 0, 6000, times[i / 4], 0);
+			send_load(&s, 6000, 9000, 0.6, 0);
+			send_load(&s, 9000, 20000, times[i / 4] + 0.2, 0);
+			violations += worst_window() >= bound(&s);
+			runs++;
+			free_sim(&s);
 		}
 	}
-	CU_ASSERT_EQUAL(over, 0);
-	unit_report("limits of accounts that hover at them", played, over);
+	CU_ASSERT_EQUAL(violations, 0);
+	unit_report("limits with demand close to them", runs, violations);
 }
 
 /*
- * Symptom: a fifth of an account's requests was refused, though it asked for
- * half of its limit. Sequence: 24 to 48 entries serve it, each sees one of its
- * prompts every few seconds, and a prompt is larger than what the entry's part
- * of the limit brings in a second; the next prompt within that second is over.
- * Cause: each entry looked at its own part alone, although all of them knew
- * that the account asked for half of its limit in sum.
+ * Failure: a fifth of an account's requests was refused although its demand was
+ * half of its limit. 24 to 48 entries serve it, each sees one of its prompts
+ * every few seconds, and a prompt exceeds one second of the entry's share of
+ * the limit; the next prompt within that second was refused. Each entry
+ * considered its own share only, although all of them knew the sum of the
+ * demand.
  */
 static void usual_demand_is_admitted_on_many_entries(void)
 {
@@ -428,32 +433,32 @@
 		for (seed = 1; seed <= 3; seed++) {
 			struct sim s;
 
-			open_fleet(&s, 295, serving[i / 4], 600, rates[i % 4],
-				   rates[i % 4], seed);
-			play(&s, 0, 3000, 0.55, 0);
+			init_entries(&s, 295, serving[i / 4], 600, rates[i % 4],
+				     rates[i % 4], seed);
+			send_load(&s, 0, 3000, 0.55, 0);
 			s.offered = s.admitted = 0;
-			play(&s, 3000, 30000, 0.55, 0);
+			send_load(&s, 3000, 30000, 0.55, 0);
 			refused = 1 - s.admitted / s.offered;
 			if (refused > most)
 				most = refused;
-			close_sim(&s);
+			free_sim(&s);
 		}
 	}
 	CU_ASSERT(most < 0.02);
 }
 
 /*
- * The pattern: an account that asks for half of its limit sends many times as
- * much, again and again, for a second or for longer. Until the entries have
- * heard of it each takes the account for calm.
+ * An account whose demand is half of its limit sends repeated bursts of many
+ * times as much, each of 0.5 s to 2.5 s. Until gossip about a burst arrives,
+ * each entry considers the account calm.
  */
-static void bursts_out_of_calm_stay_below_the_limit(void)
+static void bursts_of_a_calm_account_stay_below_the_limit(void)
 {
 	static const double rates[] = { 47000, 100000, 250000, 2000000 };
 	static const double times[] = { 1.5, 3, 6, 20 };
-	static const int lasts_ms[] = { 500, 1000, 2500 };
+	static const int durations_ms[] = { 500, 1000, 2500 };
 	const unsigned long seeds = unit_seeds(2);
-	unsigned long seed, over = 0, played = 0;
+	unsigned long seed, violations = 0, runs = 0;
 	unsigned i, k;
 
 	for (i = 0; i < 32; i++) {
@@ -462,39 +467,39 @@
 			int64_t at;
 
 			seed = k / 3 + 1;
-			open_fleet(&s, 295, i < 16 ? 24 : 32, 600, rates[i % 4],
-				   rates[i % 4], seed);
-			play(&s, 0, 4000, 0.5, 0);
+			init_entries(&s, 295, i < 16 ? 24 : 32, 600,
+				     rates[i % 4], rates[i % 4], seed);
+			send_load(&s, 0, 4000, 0.5, 0);
 			for (at = 4000; at < 24000; at += 4000 + 70 * k) {
-				play(&s, at, at + lasts_ms[k % 3],
-				     times[i / 4 % 4], 0);
-				play(&s, at + lasts_ms[k % 3],
-				     at + 4000 + 70 * k, 0.5, 0);
+				send_load(&s, at, at + durations_ms[k % 3],
+					  times[i / 4 % 4], 0);
+				send_load(&s, at + durations_ms[k % 3],
+					  at + 4000 + 70 * k, 0.5, 0);
 			}
-			over += worst_window() >= bound(&s);
-			played++;
-			close_sim(&s);
+			violations += worst_window() >= bound(&s);
+			runs++;
+			free_sim(&s);
 		}
 	}
-	CU_ASSERT_EQUAL(over, 0);
-	unit_report("limits in bursts out of calm", played, over);
+	CU_ASSERT_EQUAL(violations, 0);
+	unit_report("limits in bursts of a calm account", runs, violations);
 }
 
-/* Under overload the limit is used: little is refused that would fit. */
+/* Under overload the limit is used: little is refused that is within it. */
 static void overload_uses_the_limit(void)
 {
 	struct sim s;
 
-	open_sim(&s, 60000, 60000, 4);
-	play(&s, 0, 40000, 4, 0);
+	init_sim(&s, 60000, 60000, 4);
+	send_load(&s, 0, 40000, 4, 0);
 	CU_ASSERT(s.admitted > 60000.0 * 40);
-	close_sim(&s);
+	free_sim(&s);
 }
 
 /*
- * The pattern: an account sends three times its limit for half a minute. What
- * is below the limit is owed; nine tenths of it at least are let through,
- * although an entry's part of a second is less than one prompt.
+ * An account sends three times its limit for half a minute. At least nine
+ * tenths of the limit must be admitted, although an entry's share of a second
+ * is less than one prompt.
  */
 static void overload_uses_the_limit_on_many_entries(void)
 {
@@ -504,20 +509,20 @@
 	for (i = 0; i < 8; i++) {
 		struct sim s;
 
-		open_fleet(&s, 295, i < 4 ? 24 : 32, 600, rates[i % 4],
-			   rates[i % 4], i + 1);
-		play(&s, 0, 3000, 0.5, 0);
+		init_entries(&s, 295, i < 4 ? 24 : 32, 600, rates[i % 4],
+			     rates[i % 4], i + 1);
+		send_load(&s, 0, 3000, 0.5, 0);
 		s.admitted = 0;
-		play(&s, 3000, 30000, 3, i % 2 ? 5 : 0);
+		send_load(&s, 3000, 30000, 3, i % 2 ? 5 : 0);
 		CU_ASSERT(s.admitted > 0.9 * s.rate * 27);
-		close_sim(&s);
+		free_sim(&s);
 	}
 }
 
 /*
- * The pattern: an account sends six times its limit, long prompts and plain
- * calls. The calls are a hundredth of the tokens; refusing them in the same
- * proportion saves nothing and fails callers who ask for little.
+ * An account sends six times its limit, as long prompts and plain calls. The
+ * calls are a hundredth of the tokens: refusing them in the same proportion as
+ * the prompts saves nothing and fails clients with little demand.
  */
 static void small_requests_do_not_wait_for_large_ones(void)
 {
@@ -560,7 +565,7 @@
 	acct_free(&t);
 }
 
-static void refund_gives_back(void)
+static void refund_restores_the_bucket(void)
 {
 	const struct acct_slack slack = { 0, 0 };
 	struct acct_table t;
@@ -577,19 +582,19 @@
 	acct_free(&t);
 }
 
-/* ---- Repeats ---- */
+/* ---- Retry budget ---- */
 
-static void repeats_stay_below_the_budget(void)
+static void retries_stay_below_the_budget(void)
 {
 	const struct again_limits l = { 0.2, 56, 10000 };
 	struct again b[ENTRIES];
-	unsigned long requests = 0, repeats = 0;
+	unsigned long requests = 0, retries = 0;
 	struct rnd rnd;
 	int64_t now;
 
 	memset(b, 0, sizeof(b));
 	rnd_seed(&rnd, 5);
-	/* Ten seconds in which every request asks for a repeat. */
+	/* For ten seconds every request needs a retry. */
 	for (now = 0; now < 10000; now += 10) {
 		struct again *mine = &b[rnd_below(&rnd, ENTRIES)];
 
@@ -597,29 +602,29 @@
 		again_earn(mine, &l, ENTRIES, now);
 		CU_ASSERT_EQUAL(again_available(mine, &l, ENTRIES, now),
 				mine->level >= 1);
-		repeats += again_spend(mine, &l, ENTRIES, now);
+		retries += again_spend(mine, &l, ENTRIES, now);
 	}
-	CU_ASSERT(repeats <= 0.2 * requests + 56);
-	CU_ASSERT(repeats > 0.13 * requests);
+	CU_ASSERT(retries <= 0.2 * requests + 56);
+	CU_ASSERT(retries > 0.13 * requests);
 }
 
 /*
- * Symptom: half of the streams on a zone that was reclaimed were cut. Sequence:
- * 24 of 84 entries carried the traffic; each was to send six requests once
- * more within a second, and had one repeat. Cause: a bucket as large as an
- * 84th of the slack. The pattern: calm, then every entry repeats what it can
- * at once, and goes on repeating; any window of ten seconds is summed.
+ * Failure: half of the streams of a reclaimed zone were cut. 24 of
+ * 84 entries carried the traffic; each had to retry six requests within a
+ * second and had a budget of one, as its bucket was an 84th of the slack. The
+ * test: after a calm period each entry retries as much as it can, at once and
+ * from then on; the sum over any window of ten seconds is checked.
  */
-static void repeats_are_saved_up_within_the_budget(void)
+static void retries_are_saved_up_within_the_budget(void)
 {
 	enum {
-		ALL = 84,
-		NAMED = 24,
+		NR_ENTRIES = 84,
+		NR_ACTIVE = 24,
 		SECONDS = 60,
 		PER_S = 240
 	};
 	const struct again_limits l = { 0.2, 206, 10000 };
-	static struct again b[ALL];
+	static struct again b[NR_ENTRIES];
 	unsigned spent[SECONDS] = { 0 }, at_once = 0, sum;
 	struct rnd rnd;
 	int64_t now;
@@ -630,17 +635,18 @@
 	for (now = 0; now < SECONDS * 1000; now++) {
 		s = (int)(now / 1000);
 		if (now % 4 == 0)
-			again_earn(&b[rnd_below(&rnd, NAMED)], &l, ALL, now);
+			again_earn(&b[rnd_below(&rnd, NR_ACTIVE)], &l,
+				   NR_ENTRIES, now);
 		if (s < 30)
 			continue;
-		for (i = 0; i < ALL; i++) {
-			while (again_spend(&b[i], &l, ALL, now)) {
+		for (i = 0; i < NR_ENTRIES; i++) {
+			while (again_spend(&b[i], &l, NR_ENTRIES, now)) {
 				spent[s]++;
-				at_once += now == 30000 && i < NAMED;
+				at_once += now == 30000 && i < NR_ACTIVE;
 			}
 		}
 	}
-	CU_ASSERT(at_once >= 5 * NAMED);
+	CU_ASSERT(at_once >= 5 * NR_ACTIVE);
 	for (s = 0; s + 10 <= SECONDS; s++) {
 		for (sum = 0, i = s; i < s + 10; i++)
 			sum += spent[i];
@@ -648,8 +654,8 @@
 	}
 }
 
-/* Repeats that reached nobody are given back, and not saved up. */
-static void repeats_that_reach_nobody_are_free(void)
+/* Retries that reached no endpoint are refunded, but not saved up. */
+static void retries_that_reach_no_endpoint_are_free(void)
 {
 	const struct again_limits l = { 0.2, 56, 10000 };
 	struct again b = { 0 };
@@ -665,36 +671,36 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "repeats that reach nobody are free",
-	  repeats_that_reach_nobody_are_free },
+	{ "retries that reach no endpoint are free",
+	  retries_that_reach_no_endpoint_are_free },
 	{ "the sum stays below the limit", sum_stays_below_the_limit },
 	{ "the sum stays below the limit on many entries",
 	  sum_stays_below_the_limit_on_many_entries },
-	{ "a restart of all entries gives nothing away",
-	  restart_of_all_entries_gives_nothing_away },
-	{ "the twin without unheard entries is caught",
-	  twin_without_unheard_entries_is_caught },
+	{ "the limit holds across a restart of all entries",
+	  limit_holds_across_a_restart_of_all_entries },
+	{ "the variant that ignores unknown demand is detected",
+	  variant_that_ignores_unknown_demand_is_detected },
 	{ "usual demand is admitted", usual_demand_is_admitted },
-	{ "a burst across a cut stays below the limit",
-	  a_burst_across_a_cut_stays_below_the_limit },
+	{ "a burst across a partition stays below the limit",
+	  a_burst_across_a_partition_stays_below_the_limit },
 	{ "the first requests get no more than the limit",
 	  the_first_requests_get_no_more_than_the_limit },
-	{ "hovering at the limit stays below it",
-	  hovering_at_the_limit_stays_below_it },
+	{ "demand close to the limit stays below it",
+	  demand_close_to_the_limit_stays_below_it },
 	{ "usual demand is admitted on many entries",
 	  usual_demand_is_admitted_on_many_entries },
-	{ "bursts out of calm stay below the limit",
-	  bursts_out_of_calm_stay_below_the_limit },
+	{ "bursts of a calm account stay below the limit",
+	  bursts_of_a_calm_account_stay_below_the_limit },
 	{ "overload uses the limit", overload_uses_the_limit },
 	{ "overload uses the limit on many entries",
 	  overload_uses_the_limit_on_many_entries },
 	{ "small requests do not wait for large ones",
 	  small_requests_do_not_wait_for_large_ones },
 	{ "no rate means no limit", no_rate_means_no_limit },
-	{ "a refund gives back", refund_gives_back },
-	{ "repeats stay below the budget", repeats_stay_below_the_budget },
-	{ "repeats are saved up within the budget",
-	  repeats_are_saved_up_within_the_budget },
+	{ "a refund restores the bucket", refund_restores_the_bucket },
+	{ "retries stay below the budget", retries_stay_below_the_budget },
+	{ "retries are saved up within the budget",
+	  retries_are_saved_up_within_the_budget },
 };
 
 UNIT_MAIN("acct", tests)
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -1,4 +1,4 @@
-/* Fair queuing against a naive twin, shares, admission, retry budgets. */
+/* Fair queuing against a naive implementation, shares, admission, budgets. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "limit/wfq.h"
 #include "support/unit.h"
 
-/* ---- The queue against a list sorted at each step ---- */
+/* ---- The queue against one that is searched at each step ---- */
 
 struct naive_queue {
 	struct wfq_item *items[256];
@@ -49,7 +49,7 @@
 	return it;
 }
 
-static void wfq_like_naive(void)
+static void queue_matches_naive(void)
 {
 	static struct wfq_item items[5000];
 	struct naive_queue naive = { .nr = 0 };
@@ -75,13 +75,13 @@
 }
 
 /*
- * Symptom: a quiet account waits behind a flood.
- * Events: one account queues 100 long requests, another then one short one.
- * Cause: first come, first served. By cost, the quiet one is due next.
+ * Failure: an account with little demand waits behind a flood. One account
+ * queues 100 long requests, then another one short request. With FIFO the
+ * latter is served last, with fair queuing by cost next.
  */
 static void flood_does_not_starve(void)
 {
-	static struct wfq_item flood[100], quiet;
+	static struct wfq_item flood[100], light;
 	enum wfq_policy p;
 
 	for (p = WFQ_FAIR; p <= WFQ_FIFO; p++) {
@@ -94,9 +94,9 @@
 						      .cost = 1000 };
 			wfq_push(q, &flood[i]);
 		}
-		quiet = (struct wfq_item){ .flow = 2, .weight = 1, .cost = 50 };
-		wfq_push(q, &quiet);
-		while (wfq_pop(q) != &quiet)
+		light = (struct wfq_item){ .flow = 2, .weight = 1, .cost = 50 };
+		wfq_push(q, &light);
+		while (wfq_pop(q) != &light)
 			before++;
 		CU_ASSERT_EQUAL(before, p == WFQ_FAIR ? 0 : 100);
 		wfq_free(q);
@@ -117,7 +117,7 @@
 	CU_ASSERT(wfq_push(q, &a) && wfq_push(q, &b));
 	CU_ASSERT(!wfq_push(q, &c));
 	CU_ASSERT_PTR_NULL(wfq_expired(q, 49));
-	/* Not only the head of a flow expires. */
+	/* Items behind the head of a flow expire as well. */
 	CU_ASSERT_PTR_EQUAL(wfq_expired(q, 50), &b);
 	wfq_remove(q, &a);
 	CU_ASSERT_EQUAL(wfq_count(q), 0);
@@ -134,13 +134,13 @@
 	int i;
 
 	CU_ASSERT_EQUAL(share_keeper_request(k, 1, 900, 0, 100), -1);
-	/* All members have told what they use: the quiet time is over. */
+	/* All members have reported their share: the keeper grants from now on. */
 	b = share_keeper_request(k, 2, 100, 0, 100);
 	a = share_keeper_request(k, 1, 900, 0, 200);
 	CU_ASSERT(a > 6 * b && a + b <= 800.0001);
 	/*
-	 * Demand moves. A lower share counts at its old rate until the entry
-	 * confirms it, so it takes a few rounds of a second each.
+	 * Demand moves to the other entry. A lower share counts at its old rate
+	 * until the entry confirms it, so this takes a few rounds of a second.
 	 */
 	for (i = 1; i <= 4; i++) {
 		a = share_keeper_request(k, 1, 100, a, 1000 * i);
@@ -161,13 +161,13 @@
 	share_keeper_free(k);
 }
 
-static void bucket(void)
+static void token_bucket(void)
 {
 	int64_t retry = 0;
 	struct share s;
 
 	share_init(&s, 1000, 2, 0);
-	/* No share yet: its part of the floor. */
+	/* No share yet: the entry's part of the floor. */
 	CU_ASSERT_DOUBLE_EQUAL(share_rate(&s, 0), 100, 0.01);
 	share_update(&s, 400, 0);
 	CU_ASSERT_DOUBLE_EQUAL(share_rate(&s, 10), 500, 0.01);
@@ -182,7 +182,7 @@
 
 /* ---- Admission ---- */
 
-static struct admit_facts calm(void)
+static struct admit_facts idle_facts(void)
 {
 	const struct admit_facts f = {
 		.max_in_flight = 10,
@@ -200,29 +200,29 @@
 
 static void admission(void)
 {
-	struct admit_facts f = calm();
+	struct admit_facts f = idle_facts();
 
 	CU_ASSERT_EQUAL(admit_decide(&f).verdict, ADMIT_GO);
 	f.has_room = false;
 	CU_ASSERT_EQUAL(admit_decide(&f).verdict, ADMIT_WAIT);
 	f.queued = 4;
 	CU_ASSERT_EQUAL(admit_decide(&f).reason, ADMIT_QUEUE_FULL);
-	f = calm();
-	f.queued = 1; /* those who wait go first */
+	f = idle_facts();
+	f.queued = 1; /* queued requests go first */
 	CU_ASSERT_EQUAL(admit_decide(&f).verdict, ADMIT_WAIT);
-	f = calm();
+	f = idle_facts();
 	f.queue_wait_ms = 5000;
 	CU_ASSERT_EQUAL(admit_decide(&f).reason, ADMIT_TOO_LATE);
 	CU_ASSERT(admit_decide(&f).retry_after_ms >= 4000);
-	f = calm();
+	f = idle_facts();
 	f.share_ok = false;
 	f.share_retry_ms = 700;
 	CU_ASSERT_EQUAL(admit_decide(&f).http_status, 429);
 	CU_ASSERT_EQUAL(admit_decide(&f).retry_after_ms, 700);
-	f = calm();
+	f = idle_facts();
 	f.in_flight = 10;
 	CU_ASSERT_EQUAL(admit_decide(&f).http_status, 503);
-	f = calm();
+	f = idle_facts();
 	f.cut_off = true;
 	CU_ASSERT_EQUAL(admit_decide(&f).reason, ADMIT_CUT_OFF);
 }
@@ -237,17 +237,17 @@
 		retry_budget_earn(&b);
 		spent += retry_budget_spend(&b);
 	}
-	/* A tenth of the requests, and the burst. */
+	/* A tenth of the requests plus the burst. */
 	CU_ASSERT(spent >= 100 && spent <= 111);
 }
 
 static const struct unit_test tests[] = {
-	{ "queue like the naive twin", wfq_like_naive },
-	{ "a flood does not starve others", flood_does_not_starve },
+	{ "the queue matches the naive one", queue_matches_naive },
+	{ "a flood does not starve other accounts", flood_does_not_starve },
 	{ "queue bounds and expiry", queue_bounds_and_expiry },
 	{ "shares follow demand", shares_follow_demand },
 	{ "a partition scales shares", partition_scales },
-	{ "the bucket", bucket },
+	{ "the token bucket", token_bucket },
 	{ "admission", admission },
 	{ "retry budgets", retry_budgets },
 };
