--- a/tests/test_acct.c
+++ b/tests/test_acct.c
@@ -609,11 +609,11 @@
 }
 
 /*
- * Failure: half of the streams of a reclaimed zone were cut. 24 of
- * 84 entries carried the traffic; each had to retry six requests within a
- * second and had a budget of one, as its bucket was an 84th of the slack. The
- * test: after a calm period each entry retries as much as it can, at once and
- * from then on; the sum over any window of ten seconds is checked.
+ * Failure: half of the streams of a reclaimed zone were cut. 24 of 84 entries
+ * carried the traffic; each had to retry six requests within a second and had a
+ * budget of one, as its bucket was an 84th of the slack. The test: after a calm
+ * period each entry retries as much as it can, at once and from then on; the
+ * sum over any window of ten seconds is checked.
  */
 static void retries_are_saved_up_within_the_budget(void)
 {
