--- a/lib/limit/admit.h
+++ b/lib/limit/admit.h
@@ -2,8 +2,9 @@
  * admit: admission control. Decides whether a request is admitted, queued or
  * refused. Pure.
  *
- * Checks in this order: can the deadline be met, has the account a share left,
- * is there room at an endpoint, is there room in the queue. A refusal is
+ * Checks in this order: is the entry draining, partitioned or at its maximum in
+ * flight; is there an endpoint; can the deadline be met; has the account a share
+ * left; is there room at an endpoint, or else in the queue. A refusal is
  * returned at once, guarantees that the request was not run, and says when to
  * retry.
  */
--- a/lib/request/fatal.h
+++ b/lib/request/fatal.h
@@ -53,7 +53,7 @@
 /* Contents kept. Bounded because callers can send any number of them. */
 #define FATAL_MAX_ROWS 512
 
-/* Duration of the quarantine after the last crash, unless released before. */
+/* Quarantine after the last crash (1 h), unless released before. */
 #define FATAL_KEEP_MS 3600000
 
 /* Rows in one gossip datagram. */
@@ -125,9 +125,8 @@
 	struct cds_list_head rows;
 	struct fatal_row *table;   /* by content */
 	unsigned count;		   /* rows */
-	struct fade crashed_sends; /* sends met by a crash that has no strong
-				      suspect */
-	struct fade ran_ms;	   /* total duration of all sends */
+	struct fade crashed_sends; /* at crashes without strong suspect */
+	struct fade ran_ms;	   /* total duration of sends */
 	unsigned next_in_turn;	   /* next row to gossip in rotation */
 };
 
@@ -222,9 +221,9 @@
 			      fatal_running_at running_at, void *arg,
 			      int64_t now_ms);
 
-/* Merges `n` rows received from another entry; `entry` is the latter's hash. */
+/* Merges `n` rows from another entry; `entry` is that entry's hash. */
 void fatal_merge_gossip(struct fatal *f, uint64_t entry,
-			const struct fatal_gossip *rows, unsigned n,
+			const struct fatal_gossip *received, unsigned n,
 			int64_t now_ms);
 
 /* ---- Quarantine records in the store ---- */
--- a/lib/request/fatal_told.c
+++ b/lib/request/fatal_told.c
@@ -67,6 +67,7 @@
 	return n + collect_in_turn(f, out + n, max - n, now);
 }
 
+/* Sets where another entry runs the content; `endpoint` 0: nowhere. */
 static void update_run(struct fatal_row *row, uint64_t entry, uint64_t endpoint,
 		       int64_t now)
 {
--- a/scripts/ending_test.sh
+++ b/scripts/ending_test.sh
@@ -9,9 +9,9 @@
 # sent to a second one, which crashes; the client retries at another entry,
 # under a new id, and so on.
 # Cause: crashes were counted per attempt and per service, never per content,
-# and no entry knew what another had seen. Log lines on sends, with a digest of the
-# content, and on crashed endpoints proved it. Counted by content across all
-# entries, each such request crashes three.
+# and no entry knew what another had seen. Log lines on sends, with a
+# digest of the content, and on crashed endpoints proved it. Counted by content
+# across all entries, each such request crashes three.
 cd "$(dirname "$0")/.." || exit 1
 EDGES=${EDGES:-6}
 EDGE_SERVICES_EACH=8
--- a/tests/test_fatal.c
+++ b/tests/test_fatal.c
@@ -275,13 +275,14 @@
 #define MAX_RUNS 4000
 #define MAX_MESSAGES 20000
 #define STEP_MS 2
-#define DURATION_MS 20000
+#define DURATION_MS 20000 /* of a simulation */
 #define NR_POISON 3
-#define POPULAR 2 /* contents that are sent repeatedly */
-#define RESTART_MS 2600
-#define GOSSIP_MS 200
-#define RECORD_MS 60
+#define POPULAR 2	/* contents that are sent repeatedly */
+#define RESTART_MS 2600 /* of a crashed endpoint */
+#define GOSSIP_MS 200	/* interval of gossip without changes */
+#define RECORD_MS 60	/* until all entries have read a new record */
 
+/* What the simulated entries get wrong. */
 enum variant {
 	CORRECT,
 	NO_GOSSIP,
@@ -291,7 +292,7 @@
 
 struct schedule {
 	int entries, endpoints;
-	double loss;	  /* part of the gossip that is lost */
+	double loss;	  /* fraction of the gossip that is lost */
 	double crashes_s; /* crashes without a poison request, per second */
 	double resets_s;  /* broken connections, per second */
 	bool restarts;	  /* an entry restarts about each second */
@@ -329,10 +330,9 @@
 	uint64_t next;
 	int64_t record_ms[NR_POISON]; /* when all read the record; 0: never */
 	unsigned crashes[NR_POISON];  /* endpoints crashed */
-	unsigned after
-		[NR_POISON]; /* of them by sends after the third was known */
+	unsigned after[NR_POISON];    /* by sends after the third was known */
 	int64_t third_ms[NR_POISON];
-	unsigned sent, refused;
+	unsigned sent, refused; /* harmless requests */
 } sim;
 
 static bool is_poison(struct hsh_wide c)
