--- a/lib/limit/acct.c
+++ b/lib/limit/acct.c
@@ -113,7 +113,7 @@
  * prompt per second. By that share alone, an account that uses half of its
  * limit would be refused whenever two of its prompts reach one entry within a
  * second: one in ten on 48 entries. In sum over all entries there is room, and
- * gossip tells each entry so.
+ * each entry knows this from gossip.
  */
 static bool calm(const struct acct_table *t, const struct acct *a)
 {
--- a/lib/limit/acct.h
+++ b/lib/limit/acct.h
@@ -69,7 +69,10 @@
 	bool first_start; /* no earlier process admitted anything */
 };
 
-/* Starts with one entry; the caller keeps the numbers of entries up to date. */
+/*
+ * Starts with `entries` 1. The caller updates `entries` to `current` with each
+ * change of the membership or of gossiped demands, then calls acct_tick().
+ */
 void acct_init(struct acct_table *t, const struct acct_slack *slack);
 void acct_free(struct acct_table *t);
 
--- a/lib/limit/admit.h
+++ b/lib/limit/admit.h
@@ -3,8 +3,8 @@
  * refused. Pure.
  *
  * Checks in this order: is the entry draining, partitioned or at its maximum in
- * flight; is there an endpoint; can the deadline be met; has the account a share
- * left; is there room at an endpoint, or else in the queue. A refusal is
+ * flight; is there an endpoint; can the deadline be met; has the account a
+ * share left; is there room at an endpoint, or else in the queue. A refusal is
  * returned at once, guarantees that the request was not run, and says when to
  * retry.
  */
