--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -44,10 +44,10 @@
 	edge_log_content(en, row->content);
 	jlog_str(en->log, "change", what);
 	jlog_str(en->log, "endpoint", endpoint);
-	jlog_int(en->log, "ends", fatal_count(row));
+	jlog_int(en->log, "ends", fatal_crash_count(row));
 	jlog_str(en->log, "route", row->route);
 	jlog_str(en->log, "account", row->account);
-	jlog_bool(en->log, "recorded", row->stored_true_ms != 0);
+	jlog_bool(en->log, "recorded", row->recorded_wall_ms != 0);
 	jlog_end(en->log);
 }
 
@@ -79,12 +79,12 @@
 /* ---- Changes of suspicion ---- */
 
 static void on_changed(void *arg, const struct fatal_row *row,
-		       enum fatal_news news, uint64_t endpoint)
+		       enum fatal_change news, uint64_t endpoint)
 {
 	static const char *const changes[] = {
 		[FATAL_SUSPECTED] = "suspected",
 		[FATAL_CONVICTED] = "convicted",
-		[FATAL_MORE] = "crashed another endpoint",
+		[FATAL_CRASHED_AGAIN] = "crashed another endpoint",
 		[FATAL_EXPLAINED] = "explained",
 		[FATAL_CLEARED] = "cleared",
 	};
@@ -141,8 +141,9 @@
 void edge_fatal_fill_gossip(struct edge *en, struct gsp_record *out,
 			    int64_t now)
 {
-	out->nr_fatal = fatal_tell(&en->fatal, out->fatal, FATAL_MAX_TOLD,
-				   &en->nr_fatal_news, endpoint_of, en, now);
+	out->nr_fatal =
+		fatal_collect_gossip(&en->fatal, out->fatal, FATAL_MAX_GOSSIP,
+				     &en->nr_fatal_news, endpoint_of, en, now);
 }
 
 void edge_fatal_apply_gossip(struct edge *en, const struct gsp_record *r,
@@ -151,8 +152,8 @@
 	if (!r->nr_fatal)
 		return;
 	en->fatal_from_others = true;
-	fatal_heard(&en->fatal, edge_source(r->name, r->boot), r->fatal,
-		    r->nr_fatal, now);
+	fatal_merge_gossip(&en->fatal, edge_source(r->name, r->boot), r->fatal,
+			   r->nr_fatal, now);
 	en->fatal_from_others = false;
 	edge_fatal_mark_endpoints(en);
 }
@@ -179,7 +180,7 @@
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
 		e->suspect_runs = 0;
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
-		if (fatal_count(row) < FATAL_STRONG_ENDS)
+		if (fatal_crash_count(row) < FATAL_STRONG_CRASHES)
 			continue;
 		add_suspect(en, endpoint_of(en, row->content));
 		for (i = 0; i < row->nr_runs; i++)
@@ -213,10 +214,11 @@
 		return true;
 	/* Never `r` itself, which has no endpoint before it is sent. */
 	duplicate = find_in_flight(en, r->content) != NULL;
-	switch (fatal_ask(&en->fatal, r->content, duplicate, edge_now(en))) {
-	case FATAL_FREE:
+	switch (fatal_check_send(&en->fatal, r->content, duplicate,
+				 edge_now(en))) {
+	case FATAL_SEND:
 		return true;
-	case FATAL_APART:
+	case FATAL_ISOLATE:
 		r->isolated = true;
 		return true;
 	case FATAL_WAIT:
@@ -227,7 +229,7 @@
 		give_up(r, "suspected of ending endpoints, and under way",
 			BUSY_RETRY_MS);
 		return false;
-	case FATAL_NEVER:
+	case FATAL_QUARANTINED:
 		give_up(r, "ends the endpoints that run it",
 			QUARANTINE_RETRY_MS);
 		return false;
@@ -262,13 +264,14 @@
 	/* The endpoint was leaving: no request is suspected. */
 	if (flt_leaving_ms(e, now) >= 0 && !e->exited)
 		return;
-	row = fatal_broke(&en->fatal, r->content, e->hash, now - r->sent_ms,
-			  !e->exited && edge_probe(en, e), now);
+	row = fatal_send_broke(&en->fatal, r->content, e->hash,
+			       now - r->sent_ms,
+			       !e->exited && edge_probe(en, e), now);
 	str_copy(row->route, r->route->name, sizeof(row->route));
 	if (r->account)
 		str_copy(row->account, r->account->name, sizeof(row->account));
 	if (e->exited)
-		fatal_ended(&en->fatal, e->hash, now);
+		fatal_endpoint_crashed(&en->fatal, e->hash, now);
 }
 
 void edge_fatal_probed(struct edge *en, struct flt_endpoint *e,
@@ -278,15 +281,15 @@
 
 	switch (found) {
 	case HTC_THERE:
-		fatal_lives(&en->fatal, e->hash);
+		fatal_endpoint_alive(&en->fatal, e->hash);
 		break;
 	case HTC_NOBODY:
 		met_inc(en->m.endpoints_ended);
 		flt_mark_exited(e, now);
-		fatal_ended(&en->fatal, e->hash, now);
+		fatal_endpoint_crashed(&en->fatal, e->hash, now);
 		break;
 	case HTC_SILENT:
-		fatal_unsure(&en->fatal, e->hash);
+		fatal_endpoint_silent(&en->fatal, e->hash);
 		break;
 	}
 	edge_fatal_mark_endpoints(en);
@@ -296,12 +299,12 @@
 void edge_fatal_endpoint_gone(struct edge *en, const struct flt_endpoint *e)
 {
 	if (!e->draining_since_ms)
-		fatal_ended(&en->fatal, e->hash, edge_now(en));
+		fatal_endpoint_crashed(&en->fatal, e->hash, edge_now(en));
 }
 
 void edge_fatal_answered(struct edge_req *r)
 {
-	fatal_whole(&r->en->fatal, r->content, edge_now(r->en));
+	fatal_answer_complete(&r->en->fatal, r->content, edge_now(r->en));
 }
 
 void edge_fatal_sent(struct edge_req *r)
@@ -313,7 +316,7 @@
 	edge_fatal_mark_endpoints(r->en);
 	/* Other entries delay a strong suspect, and avoid its endpoint. */
 	row = fatal_find(&r->en->fatal, r->content);
-	if (row && fatal_count(row) >= FATAL_STRONG_ENDS)
+	if (row && fatal_crash_count(row) >= FATAL_STRONG_CRASHES)
 		gossip_soon(r->en);
 }
 
@@ -321,7 +324,7 @@
 {
 	const int64_t now = edge_now(r->en);
 
-	fatal_ran(&r->en->fatal, now - r->sent_ms, now);
+	fatal_add_run_time(&r->en->fatal, now - r->sent_ms, now);
 	/* Other entries may wait for the end of the send. */
 	edge_fatal_sent(r);
 }
@@ -350,7 +353,7 @@
 	buf_json(&value, row->route);
 	buf_str(&value, ",\"account\":");
 	buf_json(&value, row->account);
-	buf_fmt(&value, ",\"ends\":%u,\"at_ms\":%lld}", fatal_count(row),
+	buf_fmt(&value, ",\"ends\":%u,\"at_ms\":%lld}", fatal_crash_count(row),
 		(long long)walltime_now(&en->walltime, now));
 	c.conditions[0] = (struct sto_condition){ key, 0 };
 	c.rows[0] = (struct sto_row){ key, value.data, value.len, 0 };
@@ -374,9 +377,10 @@
 static bool should_write(const struct edge *en, const struct fatal_row *row,
 			 int64_t now)
 {
-	if (!fatal_is_convicted(row) || (row->stored_true_ms && !row->lost))
+	if (!fatal_is_convicted(row) ||
+	    (row->recorded_wall_ms && !row->record_lost))
 		return false;
-	if (row->lost)
+	if (row->record_lost)
 		return en->watch_rank == 0 && now >= row->store_next_ms;
 	if (row->store_next_ms)
 		return now >= row->store_next_ms;
@@ -392,13 +396,13 @@
 	unsigned recorded = 0;
 
 	cds_list_for_each_entry(row, &en->fatal.rows, node) {
-		recorded += row->stored_true_ms != 0;
+		recorded += row->recorded_wall_ms != 0;
 		if (should_write(en, row, now) && recorded < MAX_RECORDS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
 			write_record(en, row, now);
-		} else if (row->stored_true_ms && en->watch_rank == 0 &&
+		} else if (row->recorded_wall_ms && en->watch_rank == 0 &&
 			   now >= row->store_next_ms &&
-			   true_now - row->stored_true_ms > FATAL_KEEP_MS) {
+			   true_now - row->recorded_wall_ms > FATAL_KEEP_MS) {
 			row->store_next_ms = now + RECORD_RETRY_MS;
 			delete_record(en, row);
 		}
@@ -416,8 +420,8 @@
 		return;
 	}
 	en->fatal_from_others = true; /* all entries read the store */
-	fatal_recorded(&en->fatal, content, jsn_int(o, "at_ms", 0),
-		       edge_now(en));
+	fatal_record_found(&en->fatal, content, jsn_int(o, "at_ms", 0),
+			   edge_now(en));
 	en->fatal_from_others = false;
 }
 
@@ -426,7 +430,7 @@
 	struct hsh_wide content;
 
 	if (hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
-		fatal_unrecorded(&en->fatal, content);
+		fatal_record_lost(&en->fatal, content);
 }
 
 void edge_fatal_record_deleted(struct edge *en, const char *key)
@@ -436,7 +440,7 @@
 	if (!hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
 		return;
 	en->fatal_from_others = true;
-	fatal_lifted(&en->fatal, content, edge_now(en));
+	fatal_release(&en->fatal, content, edge_now(en));
 	en->fatal_from_others = false;
 }
 
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -86,7 +86,7 @@
 		.zone = en->conf->zone,
 		.engine = r->service->has_engine,
 		.prefix = en->conf->policy.affinity && r->route->cached
-				  ? r->attempt.shared_part
+				  ? r->attempt.prefix_hash
 				  : 0,
 		.ignore_failures = !en->conf->policy.avoid_failing,
 		.isolate = r->isolated,
@@ -95,9 +95,9 @@
 				       ? hsh_str(r->attempt.id, r->sends) | 1
 				       : 0,
 		.use = use,
-		.shared_tokens = r->attempt.shared_tokens,
+		.shared_tokens = r->attempt.prefix_tokens,
 		.unshared_tokens =
-			r->attempt.prompt_tokens - r->attempt.shared_tokens,
+			r->attempt.prompt_tokens - r->attempt.prefix_tokens,
 		.now_ms = edge_now(en),
 		.nr_excluded = r->nr_tried,
 		.parts = &en->parts,
@@ -150,13 +150,13 @@
 	r->predicted_ms = p->wait_ms;
 	r->prefill_known = p->cache_certain;
 	r->prefill_tokens = r->attempt.prompt_tokens -
-			    (p->cached ? r->attempt.shared_tokens : 0);
+			    (p->cached ? r->attempt.prefix_tokens : 0);
 	r->endpoint->prefill_tokens += r->prefill_tokens;
 	if (r->service->has_engine)
 		svc_on_sent(r->model, r->endpoint_state.tokens_to_prefill,
 			    edge_now(en));
-	if (r->route->cached && r->attempt.shared_part)
-		parts_record(&en->parts, r->attempt.shared_part,
+	if (r->route->cached && r->attempt.prefix_hash)
+		parts_record(&en->parts, r->attempt.prefix_hash,
 			     r->endpoint->hash, edge_now(en));
 }
 
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -90,7 +90,7 @@
 	struct gsp_service services[GSP_MAX_SERVICES];
 	struct gsp_count counts[GSP_MAX_COUNTS];
 	/* Poison requests: those that crash endpoints. */
-	struct fatal_told fatal[FATAL_MAX_TOLD];
+	struct fatal_gossip fatal[FATAL_MAX_GOSSIP];
 	struct gsp_tally tallies[GSP_MAX_TALLIES];
 	uint64_t rolled_back[GSP_MAX_ROLLED_BACK]; /* roll-out orders */
 };
