--- a/lib/duty/lead.h
+++ b/lib/duty/lead.h
@@ -25,9 +25,9 @@
 
 /*
  * A new holder waits for this time, ms, before it acts. By then the calls that
- * its predecessor had in flight when the lease expired have arrived: it allows
- * for 50 times the 4 ms that a call to the platform usually takes, and the
- * timeout of a duty's calls is cut to fit.
+ * its predecessor had in flight when the lease expired have arrived, even if
+ * they took 50 times the usual 4 ms of a call to the platform, or they have
+ * failed: the timeout of a duty's calls is shorter.
  */
 #define LEAD_SETTLE_MS 700
 
@@ -38,7 +38,8 @@
  * Entries take a vacant key in order of rank: the first one at once, each next
  * one LEAD_RANK_DELAY_MS later, entries without a rank after
  * LEAD_UNRANKED_DELAY_MS. Without these delays, and with retries until the new
- * holder was known, 84 entries made 500 writes of which one could succeed.
+ * holder's key was visible, 84 entries made 500 writes of which one could
+ * succeed.
  */
 #define LEAD_RANK_DELAY_MS 300
 #define LEAD_UNRANKED_DELAY_MS 1500
@@ -47,14 +48,14 @@
 #define LEAD_RETRY_MS 900
 
 /*
- * No attempt within this time, ms, of the very first start. Entries discover
- * each other meanwhile: they list the registrations after 0.7 s, and gossip
- * reaches all within 0.6 s, even on busy machines. With a shorter delay most of
- * 295 entries considered themselves first in rank.
+ * No attempt is made for this time, ms, after the very first start. Entries
+ * discover each other meanwhile: they list the registrations after 0.7 s, and
+ * gossip reaches all within 0.6 s, even on busy machines. With a shorter delay
+ * most of 295 entries considered themselves first in rank.
  */
 #define LEAD_FIRST_START_MS 2500
 
-/* Whom the store's key names. */
+/* The process that the key in the store names. */
 enum lead_owner {
 	LEAD_OWNER_OTHER,	  /* another entry */
 	LEAD_OWNER_SELF,	  /* this entry, this boot */
@@ -102,8 +103,8 @@
  * key's revision is still lead_expected_revision(); report the result with
  * lead_end_acquire(). Returns false while an attempt is in flight.
  *
- * `rank`: of this entry among those that should hold the duties, from 0;
- * -1: none. `lease_until_ms`: end of this entry's lease as far as it is proven.
+ * `rank`: of this entry among the preferred holders of the duties, from 0; -1:
+ * none. `lease_until_ms`: end of this entry's lease as far as it is proven.
  *
  * A key that a previous boot of this entry wrote is taken over without delay:
  * no other entry has acted since, or the key would name it. Otherwise the lease
@@ -134,7 +135,11 @@
  */
 void lead_on_store_restored(struct lead *l, int64_t lease_ms, int64_t now_ms);
 
-/* Returns true if a duty's call may be sent now. */
+/*
+ * Returns true if a duty's call may be sent now: this entry has held the key
+ * for LEAD_SETTLE_MS, its lease runs for more than LEAD_MARGIN_MS, and the wait
+ * after a restore of the store is over.
+ */
 bool lead_may_act(const struct lead *l, int64_t lease_until_ms, int64_t now_ms);
 
 #endif
--- a/lib/duty/saved_plan.h
+++ b/lib/duty/saved_plan.h
@@ -28,13 +28,14 @@
 	size_t nr_rows;
 };
 
-/* Returns the row of a service, or NULL if there is none. */
+/* Returns the row of a service, owned by `c`, or NULL if there is none. */
 const struct saved_plan_row *saved_plan_find(const struct saved_plan *c,
 					     const char *service);
 
 /*
- * Returns the row of a service and adds it if it is missing. Returns NULL if
- * the record has SAVED_PLAN_MAX_SERVICES rows already.
+ * Returns the row of a service, owned by `c`. If it is missing, adds one with
+ * all figures 0, or returns NULL if there are SAVED_PLAN_MAX_SERVICES rows
+ * already.
  */
 struct saved_plan_row *saved_plan_row(struct saved_plan *c,
 				      const char *service);
@@ -44,7 +45,7 @@
 
 /*
  * Parses `len` bytes of JSON. Returns false and empties `out` if the text is
- * malformed or a figure is out of range.
+ * malformed, a figure is out of range or there are too many services.
  */
 bool saved_plan_decode(const char *text, size_t len, struct saved_plan *out);
 
--- a/lib/duty/scale.c
+++ b/lib/duty/scale.c
@@ -84,14 +84,17 @@
 /*
  * Running and starting on-demand endpoints count against the zone's maximum:
  * otherwise planned spot endpoints would replace them before serving
- * themselves. Before the first request nothing is lost by that.
+ * themselves. Before the first request they may be replaced at once, since no
+ * endpoint is in use yet.
  */
 static bool spot_full(const struct scale_zone *z, const struct scale_input *in)
 {
 	return z->want_spot >= spot_limit(z, in);
 }
 
-/* The larger number of planned, and of running and starting, spot endpoints. */
+/*
+ * Spot endpoints that are planned, or that run and start if these are more.
+ */
 static int spot_reserved(const struct scale_zone *z,
 			 const struct scale_input *in)
 {
@@ -274,9 +277,11 @@
 }
 
 /*
- * The current number, kept between two bounds. Low: starting spot endpoints
- * count as cover, since an on-demand one would take as long to start. High:
- * they don't count, so none is removed before they serve.
+ * Returns the number of on-demand endpoints to plan: the current one, kept
+ * between two bounds. For the lower bound, starting spot endpoints count as
+ * cover, since an on-demand one would take as long to start. For the upper
+ * bound they don't count, so that no on-demand endpoint is removed before they
+ * serve.
  */
 static int wanted_on_demand(const struct scale_input *in,
 			    const struct scale_zone *z, size_t n)
--- a/lib/duty/scale.h
+++ b/lib/duty/scale.h
@@ -41,15 +41,15 @@
 	int min_on_demand; /* lower bound; see scale_limit_drain() */
 	double spot_price; /* relative to the on-demand price; 0: no spot */
 	int64_t now_ms;
-	bool price_cover; /* order spare spot; the cheaper, the more */
+	bool price_cover; /* order spare spot endpoints, more if cheap */
 	bool loss_cover;  /* keep spare endpoints for the next zone reclaim */
 	bool ease;	  /* drain on-demand endpoints one after the other */
 };
 
-/* Endpoints that the load keeps busy, smoothed from sample to sample. */
+/* Endpoints that the load keeps busy, smoothed over samples. */
 struct scale_need {
 	double need;	 /* endpoints; 0: no sample yet */
-	double baseline; /* its average over uncrowded samples */
+	double baseline; /* moving average of the load while not crowded */
 	bool load_seen;	 /* a sample had load */
 };
 
@@ -74,7 +74,7 @@
  */
 double scale_limit_drain(double held, int wanted, int64_t since_ms);
 
-/* Sets want_on_demand and want_spot of each zone. */
+/* Sets want_on_demand and want_spot of each of the `nr_zones` zones. */
 void scale_plan(const struct scale_input *in, struct scale_zone *zones,
 		size_t nr_zones);
 
--- a/lib/duty/usage.h
+++ b/lib/duty/usage.h
@@ -37,7 +37,7 @@
 /* Frees all rows. */
 void usage_free(struct usage *u);
 
-/* Returns the number of the window that contains a time of day, ms. */
+/* Returns the number of the window that contains a time, ms since the epoch. */
 int64_t usage_window(const struct usage *u, int64_t true_ms);
 
 /*
@@ -51,7 +51,10 @@
 void usage_merge(struct usage *u, uint64_t source, int64_t window,
 		 const char *account, int64_t runs);
 
-/* Calls `each` for all rows of window `from` and later ones. */
+/*
+ * Calls `each` for all rows of window `from` and later ones; `arg` is passed
+ * through.
+ */
 typedef void (*usage_fn)(uint64_t source, int64_t window, const char *account,
 			 int64_t runs, void *arg);
 void usage_each(const struct usage *u, int64_t from, usage_fn each, void *arg);
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -546,7 +546,7 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(saved_plan_find(&after, "llm"));
 	row = saved_plan_row(&after, "llm");
 	CU_ASSERT_DOUBLE_EQUAL(row->on_demand_held, 1.5, 0.01);
-	/* Before any load the saved need stays; without one it is initial. */
+	/* Before any load a saved need is kept; without one a guess is used. */
 	scale_update_need(&row->need, 0, 20, 20);
 	CU_ASSERT_DOUBLE_EQUAL(row->need.need, 5, 0.2);
 	scale_update_need(&guess, 0, 20, 20);
@@ -713,7 +713,7 @@
 	struct pool on_demand[4], spot[4];
 	int64_t unavailable_until[4];
 	int64_t boot_ms, next_reclaim_ms;
-	bool running_counted; /* false: broken variant, plans as if idle */
+	bool running_counted; /* false: broken variant, as before any load */
 	int removed_early;
 };
 
@@ -774,7 +774,7 @@
 	}
 }
 
-/* The plan keeps running endpoints, up to the need with its cover. */
+/* The plan must keep running endpoints, up to 1.5 times the need. */
 static void check_kept(struct reclaims *w)
 {
 	const int cover = (int)ceil(w->in.need * 1.5);
--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -104,7 +104,7 @@
 	return ignores_era ? rev : ver_of(s->era, rev);
 }
 
-/* Handles an answer of another era like lib/edge. */
+/* Handles an answer of another era as lib/edge does. */
 static bool handle_new_era(struct mir *m, const struct store *s, int64_t *era,
 			   int64_t now)
 {
@@ -150,7 +150,7 @@
 	mir_watch_end(m, any, version_of(s, s->now.revision), now);
 }
 
-/* A call of the mirror; `said`: the store's state when it answered. */
+/* A call of the mirror; `said`: the store's state that the answer shows. */
 struct call {
 	enum mir_call kind; /* MIR_NONE: no call in flight */
 	struct store said;
@@ -197,12 +197,12 @@
 		begin_call(c, m, s, now, rnd);
 	if (c->kind != MIR_NONE && now >= c->due_ms)
 		end_call(c, m, era, now);
-	/* Answers to other calls name the era, too. */
+	/* Answers to other calls name the era, too, but not during a call. */
 	if (c->kind == MIR_NONE && m->complete && !rnd_below(rnd, 20))
 		handle_new_era(m, s, era, now);
 }
 
-#define QUIET_MS 15000 /* no writes and restores from then on */
+#define QUIET_MS 15000 /* no writes or restores from then on */
 
 static unsigned keys_schedule(uint64_t seed)
 {
