--- a/lib/fleet/flt.h
+++ b/lib/fleet/flt.h
@@ -1,7 +1,7 @@
 /*
- * flt (fleet): the table of endpoints known to this entry. It combines the
- * endpoint list in the store, load reports of peers and the outcomes of this
- * entry's own requests.
+ * flt (fleet): an entry's table of all endpoints. It combines the endpoint list
+ * in the store, load reports of peers and the outcomes of the entry's own
+ * requests.
  *
  * Draining is final: an endpoint once seen draining gets no new requests. An
  * endpoint that is missing from the list is removed at once while the store is
@@ -45,7 +45,7 @@
 	int slots; /* requests that it runs at the same time */
 	bool draining;
 	bool reclaimable;     /* on a spot instance */
-	int64_t time_left_ms; /* to shutdown, at the notice; -1: not stated */
+	int64_t time_left_ms; /* from notice to shutdown; -1: not stated */
 	int64_t warmup_ms;    /* slow for this long after the start */
 };
 
@@ -87,7 +87,7 @@
 	int connect_failures;	  /* consecutive */
 	bool probing;		  /* a probe connection is in progress */
 	bool exited;		  /* the process no longer listens */
-	int suspect_runs;	  /* running requests suspected to crash it */
+	int suspect_runs; /* requests of all entries suspected to crash it */
 
 	/* Sums over the latest load reports of the peers. */
 	double peer_running;
@@ -143,7 +143,7 @@
 /*
  * Removes an endpoint at once, without a grace period, because its list entry
  * is unreadable. A later readable entry adds it as a new endpoint. Returns true
- * if the id was known.
+ * if the id was in the table.
  */
 bool flt_remove(struct flt *f, const char *id, int64_t now_ms);
 
@@ -204,9 +204,10 @@
 		 int64_t now_ms);
 
 /*
- * Returns the time in ms since the endpoint began to drain, its streams were
- * first moved to other endpoints, or it went missing and was removed. -1: none
- * of these; a missing endpoint in its grace period may be alive.
+ * Returns the time in ms since the endpoint began to drain, since its streams
+ * were first moved to other endpoints or, if it was removed, since it went
+ * missing. -1: none of these; a missing endpoint in its grace period may be
+ * alive.
  */
 int64_t flt_leaving_ms(const struct flt_endpoint *e, int64_t now_ms);
 
--- a/tests/test_flt.c
+++ b/tests/test_flt.c
@@ -53,14 +53,15 @@
 }
 
 static struct flt_endpoint *list_started(struct flt *f, const char *id,
-					 int64_t born, enum flt_change *change)
+					 int64_t started_ms,
+					 enum flt_change *change)
 {
 	struct flt_info info = { .slots = 64, .time_left_ms = -1 };
 
 	str_copy(info.id, id, sizeof(info.id));
 	str_copy(info.service, "llm", sizeof(info.service));
 	str_copy(info.address, "127.0.0.1:1", sizeof(info.address));
-	info.started_ms = born;
+	info.started_ms = started_ms;
 	return flt_upsert(f, &info, 100, change);
 }
 
