--- a/lib/route/parts.h
+++ b/lib/route/parts.h
@@ -11,8 +11,8 @@
 #include <stdint.h>
 
 /*
- * Sets and pairs per set. Enough for the about 250 shared parts that a
- * deployment uses in a day, on up to four endpoints each.
+ * Sets and pairs per set: room for the shared parts that a deployment uses in a
+ * day, about 250, on up to four endpoints each.
  */
 #define PARTS_SETS 256
 #define PARTS_WAYS 4
--- a/lib/route/pick.c
+++ b/lib/route/pick.c
@@ -101,9 +101,10 @@
 }
 
 /*
- * Cost of an endpoint that runs a request suspected to crash it. If the request
- * to be sent is suspected, each request that runs there costs as much. More
- * than any wait, but such an endpoint is still chosen if there is no other one.
+ * Cost in ms of an endpoint that runs a request suspected to crash it. If the
+ * request to be sent is suspected, each request that runs there costs as much.
+ * The cost exceeds any wait, but does not exclude the endpoint: it is chosen if
+ * there is no other one.
  */
 #define SUSPECT_COST_MS 1e6
 
--- a/lib/route/pick.h
+++ b/lib/route/pick.h
@@ -38,9 +38,9 @@
 	bool ignore_failures;	/* no penalty for recent failures */
 	uint64_t sample_seed;	/* differs for each send; 0 disables sampling */
 	unsigned sending_peers; /* other entries that send requests */
-	bool isolate;	  /* suspected to crash endpoints: away from others */
-	enum flt_use use; /* endpoints that may be picked */
-	struct parts *parts; /* where shared parts were sent; may be NULL */
+	bool isolate;		/* may crash its endpoint: avoid busy ones */
+	enum flt_use use;	/* endpoints that may be picked */
+	struct parts *parts;	/* where shared parts were sent; may be NULL */
 };
 
 struct pick_result {
@@ -50,7 +50,7 @@
 	double wait_ms;	     /* predicted time to the first event or answer */
 	bool cached;	     /* the endpoint may have the shared part cached */
 	bool cache_certain;  /* it was sent there recently, or is empty */
-	unsigned candidates; /* usable endpoints, also those not sampled */
+	unsigned candidates; /* usable endpoints, sampled or not */
 };
 
 /*
--- a/lib/route/prefix.h
+++ b/lib/route/prefix.h
@@ -13,7 +13,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Characters per block. Small enough that short prompts have several blocks. */
+/* Bytes per block. Small enough that short prompts have several blocks. */
 #define PREFIX_BLOCK_CHARS 128
 
 /* Maximum blocks per prompt; bounds the cost of a routing decision. */
@@ -24,7 +24,7 @@
 
 /* The hashes of a prompt's leading blocks. */
 struct prefix_key {
-	uint64_t block[PREFIX_MAX_BLOCKS]; /* hash of the text up to its end */
+	uint64_t block[PREFIX_MAX_BLOCKS]; /* of the text to the block's end */
 	unsigned nr;
 };
 
--- a/lib/route/route.c
+++ b/lib/route/route.c
@@ -13,8 +13,8 @@
 
 /*
  * Decay rate of a load report: after the duration of an answer divided by this,
- * its weight is about a third (1/e). Of values from 0 (no decay) to 16, 4 and 8
- * were best: docs/design/routing.md.
+ * its weight is about a third (1/e). Of the values from 0 (no decay) to 16, 4
+ * and 8 give the best choices: see docs/design/routing.md.
  */
 #define REPORT_DECAY 4.0
 
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -13,8 +13,8 @@
  *
  * The weight of a load report decays with its age, in favour of the mean of all
  * replicas. All entries see the same report; if they relied on it, they would
- * all send to the same replica until the next one (measured:
- * docs/design/routing.md).
+ * all send to the same replica until the next report: see
+ * docs/design/routing.md.
  *
  * A table covers one model of one service. The caller locks it.
  */
@@ -31,7 +31,7 @@
 /* Endpoints that an entry tracks per model: see docs/design/routing.md. */
 #define ROUTE_SUBSET 16
 
-/* Maximum number of scores from route_choose. */
+/* Scores from route_choose: of the subset, and of 4 others with the prefix. */
 #define ROUTE_MAX_SCORES (ROUTE_SUBSET + 4)
 
 /* Buffer sizes in bytes, including the terminating NUL. */
@@ -57,13 +57,13 @@
 	char zone[ROUTE_NAME_MAX];
 	char version[ROUTE_NAME_MAX]; /* as reported by the engine */
 	bool reclaimable;
-	bool ready;   /* reports that it serves the table's model */
-	bool leaving; /* gets no new requests */
-	double tokens_per_s;
-	double prefill_per_s;
-	int64_t slots;
-	double risk_per_s;  /* probability of a reclaim per second */
-	double kv_mb_per_s; /* KV cache transfer rate; 0: unsupported */
+	bool ready;	      /* reports that it serves the table's model */
+	bool leaving;	      /* gets no new requests */
+	double tokens_per_s;  /* generated, with all slots busy */
+	double prefill_per_s; /* prompt tokens */
+	int64_t slots;	      /* concurrent requests */
+	double risk_per_s;    /* probability of a reclaim per second */
+	double kv_mb_per_s;   /* KV cache transfer rate; 0: unsupported */
 	double kv_mb_per_token;
 
 	/* Load as of `report_ms`; 0: no report yet. */
@@ -134,7 +134,10 @@
 struct route_endpoint *route_find(const struct route_table *t, uint64_t id);
 size_t route_count(const struct route_table *t);
 
-/* Recomputes the subset. Call after route_put and other changes. */
+/*
+ * Recomputes the subset. Call after route_put, and after changes of `ready` or
+ * `leaving`.
+ */
 void route_refresh(struct route_table *t);
 
 /*
@@ -145,8 +148,9 @@
 		    struct route_endpoint *const **out);
 
 /*
- * Records a load report. It describes the endpoint `lag_ms` ago. A report older
- * than the last one, or with negative counts, is dropped.
+ * Records a load report, which describes the endpoint as of `lag_ms` before
+ * `now_ms`. A report older than the last one, or with negative counts, is
+ * dropped.
  */
 void route_report(struct route_endpoint *ep, int64_t running, int64_t waiting,
 		  int64_t lag_ms, int64_t now_ms);
@@ -156,9 +160,9 @@
 void route_done(struct route_endpoint *ep, int64_t now_ms);
 
 /*
- * Chooses an endpoint. `px` is needed only if the query has a prefix. `scores`
- * receives up to ROUTE_MAX_SCORES scores and `*nr_scores` their number; both
- * may be NULL.
+ * Chooses an endpoint. `px`, the prefix index, may be NULL if the query has no
+ * prefix. `scores` receives up to ROUTE_MAX_SCORES scores and `*nr_scores`
+ * their number; both may be NULL.
  */
 struct route_choice route_choose(struct route_table *t, const struct prefix *px,
 				 const struct route_query *q, struct rnd *rnd,
