--- a/lib/model/svc.c
+++ b/lib/model/svc.c
@@ -44,7 +44,7 @@
 /* Upper bound of the weight of an entry's slope, in answers. */
 #define MAX_SLOPE_WEIGHT 50.0
 
-/* Time constant of rates, ms; some hundred requests of a fleet. */
+/* Time constant of rates, ms; a fleet gets some hundred requests in it. */
 #define RATE_MS 3000.0
 
 /* Relative increase of a plain service's answer time with all slots taken. */
--- a/lib/model/svc.h
+++ b/lib/model/svc.h
@@ -11,8 +11,8 @@
  * service has a mean answer time, which grows once its slots are taken.
  *
  * This way no figure of an engine is hard-coded. With the figures of one kind
- * of engine, the TTFT of another kind was predicted 75 ms off, at a median of
- * 45 to 80 ms.
+ * of engine, the predicted TTFT of another kind was off by 75 ms, at a median
+ * TTFT of 45 to 80 ms.
  *
  * Pure: no I/O, the clock is passed in. Not thread-safe. There is one struct
  * svc for each service that requests are sent to.
@@ -109,8 +109,8 @@
 	double prefill_tokens_per_s; /* of the requests sent */
 	double running;		     /* concurrent requests */
 	double endpoints;	     /* that share the load */
-	double prefill_ms; /* per thousand tokens, mean of all entries; 0: not
-			      known, our own is used */
+	double prefill_ms; /* per thousand tokens, mean of all entries; 0: none,
+			      this entry's own is used */
 };
 
 /*
@@ -140,7 +140,10 @@
 void svc_on_ttft(struct svc *s, const struct svc_state *at, double took_ms,
 		 bool sure);
 
-/* The mean time between the events of a stream, ms. */
+/*
+ * The events of a stream arrived `between_ms` apart on average, from an
+ * endpoint with `running` requests.
+ */
 void svc_on_itl(struct svc *s, double running, double between_ms);
 
 /*
@@ -168,7 +171,7 @@
 	double run_ms, run_samples;
 };
 
-/* Fills in `out`. */
+/* Copies the learned state to `out`. */
 void svc_export(const struct svc *s, struct svc_snapshot *out);
 
 /*
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -153,7 +153,10 @@
 #define ENDPOINTS 6
 #define REQUESTS 600
 
-/* True figures of an engine, drawn at random. */
+/*
+ * True figures of an engine, drawn at random: constant time, time per thousand
+ * prompt tokens and per ten running requests.
+ */
 struct truth {
 	double fixed_ms, read_ms, running_ms;
 };
@@ -426,7 +429,10 @@
  */
 static void load_does_not_inflate_busy_endpoints(void)
 {
-	/* 50 tokens/ms; at utilization u one more takes 1 / (1 - u) as long. */
+	/*
+	 * 50 tokens/ms; at utilization u, one more token takes 1 / (1 - u)
+	 * times as long.
+	 */
 	const double rate = 50000, utilization = 0.7;
 	const struct svc_load light = { rate * 4 * 0.05, 0, 4, 0 };
 	const struct svc_load heavy = { rate * 4 * utilization, 0, 4, 0 };
