--- a/lib/stream/evs.c
+++ b/lib/stream/evs.c
@@ -36,8 +36,8 @@
 }
 
 /*
- * Returns the length of the first whole event in `b`, or 0 if there is none. An
- * end before `from` is not found.
+ * Returns the length of the first whole event in `b`, or 0 if there is none.
+ * Searches for the end of the event from offset `from` on.
  */
 static size_t find_end(const struct buf *b, size_t from)
 {
--- a/lib/stream/evs.h
+++ b/lib/stream/evs.h
@@ -16,7 +16,7 @@
 
 #include "base/buf.h"
 
-/* Events have less than 300 bytes; a larger one than this is an error. */
+/* An event usually has less than 300 bytes; one above this is an error. */
 #define EVS_MAX_EVENT_BYTES 65536
 
 struct evs {
@@ -27,6 +27,7 @@
 	bool too_large;	    /* the partial event exceeds the maximum */
 };
 
+/* Initializes `s` for a new stream; release it with evs_free(). */
 void evs_init(struct evs *s);
 
 /* Frees the partial event. */
--- a/lib/stream/hand.h
+++ b/lib/stream/hand.h
@@ -49,13 +49,14 @@
 void hand_on_requested(struct hand *h);
 
 /*
- * The call was granted. `events_at_stop`: events that the run had made when it
- * stopped; `last_id`: the last whole event received from the source.
+ * The call was granted; only in state HAND_REQUESTED. `events_at_stop`: events
+ * that the run had made when it stopped; `last_id`: the last whole event
+ * received from the source.
  */
 enum hand_step hand_on_granted(struct hand *h, int64_t events_at_stop,
 			       int64_t last_id);
 
-/* The call was refused, or its answer was lost. */
+/* The call was refused, or its answer was lost; only in HAND_REQUESTED. */
 enum hand_step hand_on_refused(struct hand *h);
 
 /* The source's stream broke off. */
