--- a/lib/rollout/rollout.c
+++ b/lib/rollout/rollout.c
@@ -48,7 +48,10 @@
 /* Time to hand over all streams and to receive the counts that show it. */
 #define HAND_OVER_MS 1200
 
-/* Maximum delay of a trial past the deadline, by a new lease holder. */
+/*
+ * A change of the lease holder may delay the shift of all traffic past the
+ * deadline by this time; after that, the roll-out is rolled back.
+ */
 #define MAX_OVERRUN_MS 2500
 
 /* Minimum answers to pass a trial, normally and with little traffic. */
--- a/lib/rollout/rollout.h
+++ b/lib/rollout/rollout.h
@@ -44,7 +44,7 @@
 	int64_t within_ms; /* deadline, relative to the start of the roll-out */
 };
 
-/* Stages of a roll-out; stored by rol_stage_name. */
+/* Stages of a roll-out, stored under the names of rol_stage_name(). */
 enum rol_stage {
 	ROL_TRIAL,     /* a share of the requests goes to the target */
 	ROL_SHIFT,     /* half of the new requests, then all, go there */
--- a/lib/rollout/verdict.c
+++ b/lib/rollout/verdict.c
@@ -118,7 +118,10 @@
 	return a < b ? a : b;
 }
 
-/* Log of the likelihood ratio over all rows, capped at `most` per group. */
+/*
+ * Log of the likelihood ratio over all rows. Each group contributes at most
+ * `max_group`, and at most MAX_BROKEN_EVIDENCE for broken connections.
+ */
 static double log_evidence(const struct tal *t, const struct routes *r,
 			   const struct hypothesis *h, double max_group)
 {
@@ -167,7 +170,7 @@
 
 	find_routes(t, &r);
 	n = (r.n + 1) * NR_FRACTIONS * NR_FAULTS;
-	/* A single hypothesis may provide all the evidence. */
+	/* log(n): a single one of n hypotheses may provide all evidence. */
 	max_group =
 		max_group_evidence(log(VDT_FALSE_ALARMS) + log(n), endpoints);
 	for (h.fault = 0; h.fault < NR_FAULTS; h.fault++) {
--- a/lib/rollout/verdict.h
+++ b/lib/rollout/verdict.h
@@ -5,8 +5,8 @@
  * A sequential test that is valid after every answer: the mean of likelihood
  * ratios over several hypotheses (a fraction of all answers, or of those on one
  * route, is bad) against the baseline's rate of bad answers on each route over
- * the same period. If the versions are alike, the mean ever exceeds 1 / alpha
- * with probability at most alpha (Ville's inequality).
+ * the same period. If the versions are alike, the probability that the mean
+ * ever exceeds 1 / alpha is at most alpha (Ville's inequality).
  *
  * The evidence of each group of endpoints is capped, so that one faulty
  * endpoint, or a crash that breaks many answers at once, does not fail the
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -91,7 +91,7 @@
 	}
 }
 
-/* Number of answers of `target` until the verdict; 0 if none within `most`. */
+/* Answers of `target` until the verdict; 0: none within `max_answers`. */
 static unsigned answers_until_worse(struct rnd *r, const struct version *from,
 				    const struct version *target,
 				    unsigned endpoints, unsigned max_answers)
@@ -110,7 +110,7 @@
 	return 0;
 }
 
-/* Guards against roll-backs of good versions: under 1 in 1,000. */
+/* Guards against roll-backs of good versions: at most 1 in 1,000. */
 static void a_version_as_good_is_not_rolled_back(void)
 {
 	const unsigned long seeds = unit_seeds(1000);
