--- a/lib/model/rls.h
+++ b/lib/model/rls.h
@@ -3,9 +3,9 @@
  * one sample at a time, in constant memory and time.
  *
  * Errors are clipped, so that an outlier moves the model no further than a
- * sample at the typical error. Outliers come from crashed endpoints, pauses of
- * our own process and clients that don't read. If all samples are far off, the
- * typical error grows, and the model follows within some tens of samples.
+ * sample with the typical error. Outliers come from crashed endpoints, pauses
+ * of our own process and clients that don't read. If all samples are far off,
+ * the typical error grows, and the model follows within some tens of samples.
  *
  * Not thread-safe; performs no I/O.
  */
@@ -39,8 +39,8 @@
 
 /*
  * Updates the model by a sample: features `x`, value `y`. `weight`: 1 for a
- * reliable sample, less for one of uncertain features. Ignores the sample if
- * `y` is not finite or `weight` not above 0.
+ * reliable sample, less if a feature is uncertain. Ignores the sample if `y` is
+ * not finite or `weight` not above 0.
  */
 void rls_learn(struct rls *m, const double *x, double y, double weight);
 
