--- a/tests/test_era.c
+++ b/tests/test_era.c
@@ -150,10 +150,10 @@
 	mir_watch_end(m, any, version_of(s, s->now.revision), now);
 }
 
-/* A call of the mirror; `said`: the store's state that the answer shows. */
+/* A call of the mirror; `state`: the store's state that the answer shows. */
 struct call {
 	enum mir_call kind; /* MIR_NONE: no call in flight */
-	struct store said;
+	struct store state;
 	int64_t due_ms;
 	bool lost;
 };
@@ -164,30 +164,30 @@
 	c->kind = mir_next(m, now);
 	if (c->kind == MIR_NONE)
 		return;
-	c->said = *s;
+	c->state = *s;
 	c->due_ms = now + (rnd_below(rnd, 4) ? 0 : rnd_below(rnd, 900));
 	c->lost = !rnd_below(rnd, 5);
 }
 
 static void end_call(struct call *c, struct mir *m, int64_t *era, int64_t now)
 {
-	struct store *said = &c->said;
+	struct store *state = &c->state;
 	const enum mir_call kind = c->kind;
 
 	c->kind = MIR_NONE;
-	if (c->lost || (said->era < *era && !ignores_era)) {
+	if (c->lost || (state->era < *era && !ignores_era)) {
 		mir_failed(m, now);
 		return;
 	}
 	/* The first answer names the era. */
 	if (kind == MIR_LIST && !m->complete)
-		*era = said->era;
-	if (handle_new_era(m, said, era, now))
+		*era = state->era;
+	if (handle_new_era(m, state, era, now))
 		return;
 	if (kind == MIR_LIST)
-		answer_list(m, said, now);
+		answer_list(m, state, now);
 	else
-		answer_watch(m, said, now);
+		answer_watch(m, state, now);
 }
 
 static void client_tick(struct call *c, struct mir *m, const struct store *s,
@@ -290,7 +290,7 @@
 struct node {
 	struct lead lead;
 	int64_t until;	      /* proven end of its lease */
-	int64_t era;	      /* the last one that it saw */
+	int64_t era;	      /* last one received */
 	int64_t next_read_ms; /* its watch answers next */
 	int64_t frozen_until;
 	/* A renewal whose answer is in flight; 0: none. */
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -246,7 +246,7 @@
 
 struct entry {
 	struct tal own, reported; /* counts, and those last reported */
-	struct rol_record record; /* as known to the entry */
+	struct rol_record record; /* as received by the entry */
 	struct rol_record next;	  /* in transit */
 	int64_t next_ms;
 	int64_t partitioned_until_ms; /* receives nothing before */
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -278,7 +278,7 @@
 /* The subsets of all entries cover the replicas evenly. */
 static void subsets_are_even(void)
 {
-	static unsigned followed[300];
+	static unsigned tracked[300];
 	unsigned e, i, least = ~0u, most = 0;
 
 	for (e = 0; e < 300; e++) {
@@ -295,12 +295,12 @@
 		n = route_subset(t, &sub);
 		CU_ASSERT_EQUAL(n, ROUTE_SUBSET);
 		for (i = 0; i < n; i++)
-			followed[sub[i]->id]++;
+			tracked[sub[i]->id]++;
 		route_free(t);
 	}
 	for (i = 1; i <= 270; i++) {
-		least = followed[i] < least ? followed[i] : least;
-		most = followed[i] > most ? followed[i] : most;
+		least = tracked[i] < least ? tracked[i] : least;
+		most = tracked[i] > most ? tracked[i] : most;
 	}
 	/* The mean is 17.8. */
 	CU_ASSERT(least >= 4 && most <= 40);
