--- a/lib/config/apply.c
+++ b/lib/config/apply.c
@@ -234,12 +234,13 @@
 		out->outcome = APPLY_NOT_SENT;
 		return;
 	}
-	if (c->base >= 0 && s.serial != c->base) {
+	if (c->base_revision >= 0 && s.serial != c->base_revision) {
 		set_conflict(out, &s);
 		err_set(e, ERR_CONFLICT,
 			"you edited revision %lld, but revision %lld by %s is "
 			"there now",
-			(long long)c->base, (long long)s.serial, s.author);
+			(long long)c->base_revision, (long long)s.serial,
+			s.author);
 	} else if (s.there && !strcmp(buf_cstr(&s.text), c->text)) {
 		out->outcome = APPLY_UNCHANGED;
 		out->revision = s.serial;
--- a/lib/config/apply.h
+++ b/lib/config/apply.h
@@ -30,7 +30,7 @@
 	char author[64];
 	int64_t at_wall_ms;
 	/* Revision the operator edited; -1: whatever is there now. */
-	int64_t base;
+	int64_t base_revision;
 	const char *what; /* name of the text in errors */
 	const char *text;
 };
--- a/lib/config/cfg.c
+++ b/lib/config/cfg.c
@@ -114,7 +114,7 @@
 	}
 }
 
-void cfg_seal(struct cfg *c)
+void cfg_finalize(struct cfg *c)
 {
 	size_t i;
 
--- a/lib/config/cfg.h
+++ b/lib/config/cfg.h
@@ -57,7 +57,7 @@
 struct cfg_engine {
 	int slots;
 	int64_t memory_tokens;
-	bool moves; /* KV cache of a run can be moved */
+	bool kv_movable; /* KV cache of a run can be moved */
 };
 
 struct cfg_service {
@@ -80,7 +80,7 @@
 	char *name;
 	bool has_priority;
 	int priority;
-	bool by_tokens;	       /* the rate counts tokens, else requests */
+	bool rate_in_tokens;   /* the rate counts tokens, else requests */
 	double default_tokens; /* of a request that states none */
 	double rate;	       /* a second, over all entries; 0: no limit */
 	double burst;
@@ -107,11 +107,11 @@
 	struct cfg_limits limits;
 };
 
-/* An empty configuration with one reference; fill it, then cfg_seal it. */
+/* An empty configuration with one reference; fill it, then cfg_finalize it. */
 struct cfg *cfg_create(void);
 
 /* Sorts routes and keys for look-ups, and sums routes up in services. */
-void cfg_seal(struct cfg *c);
+void cfg_finalize(struct cfg *c);
 
 struct cfg *cfg_ref(struct cfg *c);
 void cfg_put(struct cfg *c); /* NULL is allowed */
--- a/lib/config/force.c
+++ b/lib/config/force.c
@@ -16,20 +16,20 @@
 
 static void freshen(struct force *f, int64_t at_ms)
 {
-	if (at_ms > f->fresh_ms && at_ms >= f->doubt_ms)
-		f->fresh_ms = at_ms;
+	if (at_ms > f->confirmed_ms && at_ms >= f->ignore_before_ms)
+		f->confirmed_ms = at_ms;
 }
 
-void force_doubt(struct force *f, int64_t until_ms)
+void force_reject_confirmations(struct force *f, int64_t until_ms)
 {
-	if (until_ms > f->doubt_ms)
-		f->doubt_ms = until_ms;
+	if (until_ms > f->ignore_before_ms)
+		f->ignore_before_ms = until_ms;
 }
 
 bool force_offer(struct force *f, struct cfg *c, int64_t asked_ms)
 {
-	if (c->version > f->wanted)
-		f->wanted = c->version;
+	if (c->version > f->newest_known_version)
+		f->newest_known_version = c->version;
 	if (!f->cfg || c->version > f->cfg->version) {
 		cfg_put(f->cfg);
 		f->cfg = c;
@@ -46,23 +46,24 @@
 
 void force_confirm(struct force *f, int64_t version, int64_t at_ms)
 {
-	if (version > f->wanted)
-		f->wanted = version;
+	if (version > f->newest_known_version)
+		f->newest_known_version = version;
 	if (f->cfg && version == f->cfg->version)
 		freshen(f, at_ms);
 }
 
 bool force_behind(const struct force *f)
 {
-	return f->wanted > (f->cfg ? f->cfg->version : 0);
+	return f->newest_known_version > (f->cfg ? f->cfg->version : 0);
 }
 
 int64_t force_age(const struct force *f, int64_t now_ms)
 {
-	return f->fresh_ms ? now_ms - f->fresh_ms : INT64_MAX;
+	return f->confirmed_ms ? now_ms - f->confirmed_ms : INT64_MAX;
 }
 
-bool force_covers(const struct force *f, int64_t arrived_ms, int revoke_ms)
+bool force_can_check_key(const struct force *f, int64_t arrived_ms,
+			 int revoke_ms)
 {
-	return f->fresh_ms && arrived_ms - f->fresh_ms < revoke_ms;
+	return f->confirmed_ms && arrived_ms - f->confirmed_ms < revoke_ms;
 }
--- a/lib/config/force.h
+++ b/lib/config/force.h
@@ -16,10 +16,10 @@
 #include "config/cfg.h"
 
 struct force {
-	struct cfg *cfg;  /* NULL until the first version is known */
-	int64_t fresh_ms; /* the newest confirmation; 0: none */
-	int64_t wanted;	  /* the newest version that anybody named */
-	int64_t doubt_ms; /* what was asked before confirms nothing */
+	struct cfg *cfg;      /* NULL until the first version is known */
+	int64_t confirmed_ms; /* the newest confirmation; 0: none */
+	int64_t newest_known_version; /* the newest version that anybody named */
+	int64_t ignore_before_ms; /* what was asked before confirms nothing */
 };
 
 void force_init(struct force *f);
@@ -39,7 +39,7 @@
  * there: until operators have written it again, by `until_ms`, no answer says
  * which one is the newest.
  */
-void force_doubt(struct force *f, int64_t until_ms);
+void force_reject_confirmations(struct force *f, int64_t until_ms);
 
 /* True if a newer version than the one in force was named. */
 bool force_behind(const struct force *f);
@@ -51,6 +51,7 @@
  * True if a request that arrived at `arrived_ms` may run with a key: had the
  * key been taken away over `revoke_ms` before it was sent, we would know.
  */
-bool force_covers(const struct force *f, int64_t arrived_ms, int revoke_ms);
+bool force_can_check_key(const struct force *f, int64_t arrived_ms,
+			 int revoke_ms);
 
 #endif
--- a/lib/config/vfy.c
+++ b/lib/config/vfy.c
@@ -1,125 +1,131 @@
 #include "config/vfy.h"
 
 /* The age at which an entry asks by itself. */
-static int64_t age_to_ask(const struct vfy_state *s)
+static int64_t age_to_ask(const struct vfy_input *s)
 {
-	if (s->place == 0)
+	if (s->watcher_rank == 0)
 		return 0;
-	if (s->place > 0)
-		return VFY_AGE_MS + s->place * VFY_STEP_MS;
-	return VFY_AGE_MS + VFY_OTHERS_MS +
-	       (int64_t)(s->spread % VFY_SPREAD_MS);
+	if (s->watcher_rank > 0)
+		return VFY_MAX_AGE_MS + s->watcher_rank * VFY_RANK_STEP_MS;
+	return VFY_MAX_AGE_MS + VFY_NON_WATCHER_DELAY_MS +
+	       (int64_t)(s->jitter_seed % VFY_NON_WATCHER_JITTER_MS);
 }
 
 static enum vfy_call how(const struct vfy *v, int64_t now)
 {
-	if (!v->revision || now - v->revision_ms > VFY_HISTORY_MS)
+	if (!v->revision || now - v->revision_ms > VFY_MAX_REVISION_AGE_MS)
 		return VFY_READ;
 	return VFY_CHANGES;
 }
 
 /* After a call that brought nothing, the next one comes so much later. */
-static int64_t pause(const struct vfy *v, const struct vfy_state *s)
+static int64_t pause(const struct vfy *v, const struct vfy_input *s)
 {
-	if (!v->absent || s->behind)
+	if (!v->store_empty || s->behind)
 		return VFY_RETRY_MS;
-	return s->place == 0 ? VFY_ABSENT_MS : VFY_ABSENT_OTHERS_MS;
+	return s->watcher_rank == 0 ? VFY_ABSENT_MS : VFY_ABSENT_OTHERS_MS;
 }
 
 /* True if another entry is to be asked first; once for each version. */
-static bool peer_first(const struct vfy *v, const struct vfy_state *s)
+static bool peer_first(const struct vfy *v, const struct vfy_input *s)
 {
-	return s->behind && !s->wanted && s->follows && s->place < 0 &&
-	       s->named && v->peer_asked != s->named;
+	return s->behind && !s->request_waiting && s->has_followed_entry &&
+	       s->watcher_rank < 0 && s->announced_version &&
+	       v->last_peer_version != s->announced_version;
 }
 
-static bool peer_due(const struct vfy *v, const struct vfy_state *s,
+static bool peer_due(const struct vfy *v, const struct vfy_input *s,
 		     int64_t now)
 {
-	return now - v->behind_ms >=
-	       VFY_PEER_MS + (int64_t)(s->spread % VFY_PEER_SPREAD_MS);
+	return now - v->behind_since_ms >=
+	       VFY_PEER_DELAY_MS +
+		       (int64_t)(s->jitter_seed % VFY_PEER_JITTER_MS);
 }
 
-static enum vfy_call ask_peer(struct vfy *v, const struct vfy_state *s,
+static enum vfy_call ask_peer(struct vfy *v, const struct vfy_input *s,
 			      int64_t now)
 {
-	v->peer_asked = s->named;
-	v->calling = true;
-	v->asked_ms = now;
-	v->wait_ms = 0;
+	v->last_peer_version = s->announced_version;
+	v->call_pending = true;
+	v->call_started_ms = now;
+	v->long_poll_ms = 0;
 	return VFY_PEER;
 }
 
-enum vfy_call vfy_next(struct vfy *v, const struct vfy_state *s, int64_t now,
+enum vfy_call vfy_next(struct vfy *v, const struct vfy_input *s, int64_t now,
 		       int *wait_ms)
 {
-	const bool soon = s->behind || s->wanted;
+	const bool soon = s->behind || s->request_waiting;
 
 	*wait_ms = 0;
 	if (!s->behind)
-		v->behind_ms = 0;
-	else if (!v->behind_ms)
-		v->behind_ms = now;
-	if (v->calling)
+		v->behind_since_ms = 0;
+	else if (!v->behind_since_ms)
+		v->behind_since_ms = now;
+	if (v->call_pending)
 		return VFY_NONE;
-	if (v->asked_ms && !s->wanted && now - v->asked_ms < pause(v, s))
+	if (v->call_started_ms && !s->request_waiting &&
+	    now - v->call_started_ms < pause(v, s))
 		return VFY_NONE;
 	if (peer_first(v, s))
 		return peer_due(v, s, now) ? ask_peer(v, s, now) : VFY_NONE;
 	if (!soon && s->age_ms < age_to_ask(s))
 		return VFY_NONE;
 	/* While a confirmation is overdue, the answer must not wait. */
-	if (!soon && s->place == 0 && s->age_ms < VFY_AGE_MS)
-		*wait_ms = VFY_WAIT_MS;
-	v->calling = true;
-	v->asked_ms = now;
-	v->wait_ms = *wait_ms;
+	if (!soon && s->watcher_rank == 0 && s->age_ms < VFY_MAX_AGE_MS)
+		*wait_ms = VFY_LONG_POLL_MS;
+	v->call_pending = true;
+	v->call_started_ms = now;
+	v->long_poll_ms = *wait_ms;
 	return how(v, now);
 }
 
-void vfy_brought(struct vfy *v, int64_t revision, bool in_force, int64_t now)
+void vfy_received_version(struct vfy *v, int64_t revision, bool in_force,
+			  int64_t now)
 {
-	v->calling = false;
+	v->call_pending = false;
 	v->revision = revision;
 	v->revision_ms = now;
 	v->in_force = in_force;
-	v->absent = false;
+	v->store_empty = false;
 }
 
-int64_t vfy_asked_ms(const struct vfy *v)
+int64_t vfy_as_of_ms(const struct vfy *v)
 {
-	return v->asked_ms - (v->wait_ms ? VFY_NOTICE_MS : 0);
+	return v->call_started_ms -
+	       (v->long_poll_ms ? VFY_MAX_NOTIFY_DELAY_MS : 0);
 }
 
 int64_t vfy_unchanged(struct vfy *v, int64_t revision, int64_t now)
 {
-	const int waited =
-		v->wait_ms > VFY_NOTICE_MS ? v->wait_ms - VFY_NOTICE_MS : 0;
+	const int waited = v->long_poll_ms > VFY_MAX_NOTIFY_DELAY_MS
+				   ? v->long_poll_ms - VFY_MAX_NOTIFY_DELAY_MS
+				   : 0;
 
-	vfy_brought(v, revision, v->in_force, now);
-	return v->in_force ? v->asked_ms + waited : 0;
+	vfy_received_version(v, revision, v->in_force, now);
+	return v->in_force ? v->call_started_ms + waited : 0;
 }
 
 void vfy_history_lost(struct vfy *v)
 {
-	v->calling = false;
+	v->call_pending = false;
 	v->revision = 0;
-	v->asked_ms = 0;
+	v->call_started_ms = 0;
 }
 
 void vfy_failed(struct vfy *v)
 {
-	v->calling = false;
+	v->call_pending = false;
 }
 
 void vfy_peer_failed(struct vfy *v)
 {
-	v->calling = false;
-	v->asked_ms = 0;
+	v->call_pending = false;
+	v->call_started_ms = 0;
 }
 
 void vfy_absent(struct vfy *v)
 {
-	v->calling = false;
-	v->absent = true;
+	v->call_pending = false;
+	v->store_empty = true;
 }
--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -33,7 +33,8 @@
 	struct err e = ERR_INIT;
 	struct cfg *c = en->wire->config(it->value, it->len, &e);
 	/* Nobody named it yet, and it is not our first one: others lack it. */
-	const bool news = c && en->force.cfg && c->version > en->force.wanted;
+	const bool news = c && en->force.cfg &&
+			  c->version > en->force.newest_known_version;
 	int64_t version;
 
 	if (!c) {
@@ -104,7 +105,7 @@
 
 	if (in_force)
 		keep_copy(en, a, from_watch);
-	vfy_brought(&en->vfy, a->revision, in_force, edge_now(en));
+	vfy_received_version(&en->vfy, a->revision, in_force, edge_now(en));
 }
 
 static void on_read(void *arg, struct sto_answer *a)
@@ -153,7 +154,7 @@
 		return;
 	}
 	if (it)
-		brought(en, a, it, vfy_asked_ms(&en->vfy), true);
+		brought(en, a, it, vfy_as_of_ms(&en->vfy), true);
 	else
 		confirm(en, vfy_unchanged(&en->vfy, a->revision, edge_now(en)));
 	edge_req_verified(en);
@@ -175,22 +176,23 @@
 
 static void ask_peer(struct edge *en, const struct prs_peer *p)
 {
-	sto_follow(en->store, EDGE_CONFIG_LANE, &p->addr, en->force.wanted,
-		   PEER_WAIT_MS, PEER_EXTRA_MS, on_handed, en);
+	sto_follow(en->store, EDGE_CONFIG_LANE, &p->addr,
+		   en->force.newest_known_version, PEER_WAIT_MS, PEER_EXTRA_MS,
+		   on_handed, en);
 }
 
 void edge_config_tick(struct edge *en, int64_t now)
 {
 	const struct prs_peer *leader =
 		force_behind(&en->force) ? edge_leader(en, now) : NULL;
-	const struct vfy_state s = {
-		.place = en->watch_place,
+	const struct vfy_input s = {
+		.watcher_rank = en->watch_place,
 		.age_ms = force_age(&en->force, now),
 		.behind = force_behind(&en->force),
-		.wanted = !cds_list_empty(&en->verifying),
-		.named = en->force.wanted,
-		.follows = leader != NULL,
-		.spread = en->source,
+		.request_waiting = !cds_list_empty(&en->verifying),
+		.announced_version = en->force.newest_known_version,
+		.has_followed_entry = leader != NULL,
+		.jitter_seed = en->source,
 	};
 	struct sto_call c = { .key = en->wire->config_key,
 			      .revision = en->vfy.revision };
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -53,7 +53,7 @@
 	jlog_end(en->log);
 	en->era.seen_ms = now;
 	en->era.began_true_ms = truth_now(&en->truth, now);
-	force_doubt(&en->force, now + SETTLE_MS);
+	force_reject_confirmations(&en->force, now + SETTLE_MS);
 	en->vfy.revision = 0;
 	lead_returned(&en->lead, (int64_t)en->conf->bounds.lease_ms, now);
 	edge_lease_void(en, now + spread_ms(en, now));
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -186,7 +186,7 @@
 	const struct flt_endpoint *e = r->endpoint;
 
 	if (!e || !r->call || !r->streaming || !r->rq.started ||
-	    r->hand.state != HAND_NONE || !r->service->engine.moves)
+	    r->hand.state != HAND_NONE || !r->service->engine.kv_movable)
 		return false;
 	return flt_leaving_ms(e, now) >= MOVE_AFTER_MS;
 }
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -152,7 +152,7 @@
 	const int64_t bound = (int64_t)r->en->conf->bounds.apply_ms;
 
 	return !force_behind(f) &&
-	       f->fresh_ms >= r->arrived_ms - bound + VERIFY_MARGIN_MS;
+	       f->confirmed_ms >= r->arrived_ms - bound + VERIFY_MARGIN_MS;
 }
 
 /*
@@ -173,8 +173,9 @@
 
 	if (!conf->bounds.strict_revoke || r->route->anonymous)
 		return true;
-	return force_covers(&r->en->force, r->arrived_ms,
-			    (int)conf->bounds.revoke_ms - REVOKE_MARGIN_MS);
+	return force_can_check_key(&r->en->force, r->arrived_ms,
+				   (int)conf->bounds.revoke_ms -
+					   REVOKE_MARGIN_MS);
 }
 
 static bool find_account(struct edge_req *r)
@@ -203,7 +204,7 @@
 
 static double charge_of(const struct edge_req *r)
 {
-	if (!r->account->by_tokens)
+	if (!r->account->rate_in_tokens)
 		return 1;
 	if (!r->a.counted)
 		return r->account->default_tokens;
--- a/programs/ctl.c
+++ b/programs/ctl.c
@@ -289,7 +289,7 @@
 	MEM_AUTO char *text = set_read_file(t->a.words[1], DOC_MAX_TEXT, &e);
 	struct apply_change c = {
 		.at_wall_ms = clk_wall_ms(clk_real()),
-		.base = t->a.base,
+		.base_revision = t->a.base,
 		.what = t->a.words[1],
 		.text = text,
 	};
@@ -322,7 +322,7 @@
 
 static int cmd_check(struct tool *t)
 {
-	struct apply_change c = { .base = -1 };
+	struct apply_change c = { .base_revision = -1 };
 	struct apply_result r = { 0 };
 	struct err e = ERR_INIT;
 	int code;
--- a/tests/support/sched_rest.c
+++ b/tests/support/sched_rest.c
@@ -98,7 +98,9 @@
 static void edit(struct config *g, unsigned n, int64_t base)
 {
 	char text[1024];
-	struct apply_change ch = { .base = base, .what = "t", .text = text };
+	struct apply_change ch = { .base_revision = base,
+				   .what = "t",
+				   .text = text };
 	struct apply_result r = { 0 };
 	struct err e = ERR_INIT;
 
--- a/tests/test_cfg.c
+++ b/tests/test_cfg.c
@@ -39,7 +39,7 @@
 	c->keys[1] = (struct cfg_key){ mem_dup("aa"), 0 };
 	c->keys[2] = (struct cfg_key){ mem_dup("mm"), 1 };
 	c->nr_keys = 3;
-	cfg_seal(c);
+	cfg_finalize(c);
 	return c;
 }
 
@@ -127,7 +127,7 @@
 		c->routes[i].nr_shares = 1;
 		c->routes[i].gap_ms = gaps[i];
 	}
-	cfg_seal(c);
+	cfg_finalize(c);
 	CU_ASSERT_EQUAL(cfg_service(c, "llm")->gap_ms, 400);
 	CU_ASSERT_EQUAL(cfg_service(c, "app")->gap_ms, 0);
 	cfg_put(c);
@@ -143,9 +143,9 @@
 	CU_ASSERT_FALSE(force_offer(&f, make(5, 1, NULL), 300));
 	CU_ASSERT_EQUAL(f.cfg->version, 7);
 	/* An old version confirms nothing of the new one. */
-	CU_ASSERT_EQUAL(f.fresh_ms, 100);
+	CU_ASSERT_EQUAL(f.confirmed_ms, 100);
 	CU_ASSERT_FALSE(force_offer(&f, make(7, 1, NULL), 400));
-	CU_ASSERT_EQUAL(f.fresh_ms, 400);
+	CU_ASSERT_EQUAL(f.confirmed_ms, 400);
 	force_free(&f);
 }
 
@@ -160,17 +160,17 @@
 	struct force f;
 
 	force_init(&f);
-	CU_ASSERT_FALSE(force_covers(&f, 100, 5000));
+	CU_ASSERT_FALSE(force_can_check_key(&f, 100, 5000));
 	force_offer(&f, make(5, 1, NULL), 1000);
 	force_confirm(&f, 5, 3000);
 	CU_ASSERT_EQUAL(force_age(&f, 3500), 500);
 	force_confirm(&f, 6, 9000);
 	CU_ASSERT_EQUAL(force_age(&f, 9000), 6000);
 	CU_ASSERT(force_behind(&f));
-	CU_ASSERT(force_covers(&f, 7900, 5000));
-	CU_ASSERT_FALSE(force_covers(&f, 8000, 5000));
+	CU_ASSERT(force_can_check_key(&f, 7900, 5000));
+	CU_ASSERT_FALSE(force_can_check_key(&f, 8000, 5000));
 	force_confirm(&f, 5, 2000);
-	CU_ASSERT_EQUAL(f.fresh_ms, 3000);
+	CU_ASSERT_EQUAL(f.confirmed_ms, 3000);
 	force_free(&f);
 }
 
@@ -241,7 +241,7 @@
 			force_confirm(&x->f, s->e[b].f.cfg->version, at);
 	}
 	/* A request with the key of the version in force arrives. */
-	if (x->f.cfg && force_covers(&x->f, now, REVOKE)) {
+	if (x->f.cfg && force_can_check_key(&x->f, now, REVOKE)) {
 		const int64_t next = x->f.cfg->version + 1;
 
 		s->broken += next <= s->version &&
@@ -310,19 +310,19 @@
 
 	force_init(&f);
 	force_offer(&f, make(5, 1, NULL), 1000);
-	force_doubt(&f, 4000);
+	force_reject_confirmations(&f, 4000);
 	force_confirm(&f, 5, 3000);
-	CU_ASSERT_EQUAL(f.fresh_ms, 1000);
-	CU_ASSERT_FALSE(force_covers(&f, 6000, 5000));
+	CU_ASSERT_EQUAL(f.confirmed_ms, 1000);
+	CU_ASSERT_FALSE(force_can_check_key(&f, 6000, 5000));
 	force_confirm(&f, 5, 4100);
-	CU_ASSERT_EQUAL(f.fresh_ms, 4100);
+	CU_ASSERT_EQUAL(f.confirmed_ms, 4100);
 	force_free(&f);
 
 	/* An entry that starts is given an older one than others named. */
 	force_init(&f);
 	force_confirm(&f, 7, 500);
 	CU_ASSERT(force_offer(&f, make(5, 1, NULL), 1000));
-	CU_ASSERT_FALSE(force_covers(&f, 1000, 5000));
+	CU_ASSERT_FALSE(force_can_check_key(&f, 1000, 5000));
 	force_free(&f);
 }
 
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -90,7 +90,9 @@
 static struct apply_change change(const char *id, int64_t base,
 				  const char *text)
 {
-	struct apply_change c = { .base = base, .what = "t", .text = text };
+	struct apply_change c = { .base_revision = base,
+				  .what = "t",
+				  .text = text };
 
 	strcpy(c.service, "bayt-tayar");
 	snprintf(c.change_id, sizeof(c.change_id), "%s", id);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -52,11 +52,11 @@
 	CU_ASSERT(r->anonymous);
 	CU_ASSERT_EQUAL(cfg_service(c, "s1")->scaling.boot_ms, 4000);
 	CU_ASSERT_EQUAL(cfg_service(c, "s1")->scaling.nr_prices, 2);
-	CU_ASSERT(cfg_service(c, "s1")->engine.moves);
+	CU_ASSERT(cfg_service(c, "s1")->engine.kv_movable);
 	CU_ASSERT_FALSE(cfg_service(c, "s2")->has_engine);
 	a = cfg_account(c, "k2");
 	CU_ASSERT_STRING_EQUAL(a->name, "t1");
-	CU_ASSERT(a->by_tokens && a->has_priority);
+	CU_ASSERT(a->rate_in_tokens && a->has_priority);
 	CU_ASSERT_EQUAL(c->limits.idle_ms, 400);
 	cfg_put(c);
 }
--- a/tests/test_vfy.c
+++ b/tests/test_vfy.c
@@ -7,7 +7,7 @@
 
 static enum vfy_call next(struct vfy *v, int place, int64_t age, int64_t now)
 {
-	const struct vfy_state s = { .place = place, .age_ms = age };
+	const struct vfy_input s = { .watcher_rank = place, .age_ms = age };
 	int wait_ms;
 
 	return vfy_next(v, &s, now, &wait_ms);
@@ -22,7 +22,7 @@
 	vfy_failed(&v);
 	CU_ASSERT_EQUAL(next(&v, -1, NEVER, 10 + VFY_RETRY_MS - 1), VFY_NONE);
 	CU_ASSERT_EQUAL(next(&v, -1, NEVER, 10 + VFY_RETRY_MS), VFY_READ);
-	vfy_brought(&v, 7, true, 1000);
+	vfy_received_version(&v, 7, true, 1000);
 	CU_ASSERT_EQUAL(next(&v, 0, 20, 1000), VFY_CHANGES);
 }
 
@@ -45,15 +45,15 @@
 		}
 	}
 	CU_ASSERT_EQUAL(calls, 1);
-	CU_ASSERT(first.asked_ms >= now - VFY_ABSENT_MS);
+	CU_ASSERT(first.call_started_ms >= now - VFY_ABSENT_MS);
 	/* Once it has heard of a version it reads it at once. */
 	CU_ASSERT_EQUAL(vfy_next(&other,
-				 &(struct vfy_state){ .place = -1,
+				 &(struct vfy_input){ .watcher_rank = -1,
 						      .age_ms = NEVER,
 						      .behind = true },
 				 now, &(int){ 0 }),
 			VFY_READ);
-	vfy_brought(&other, 7, true, now);
+	vfy_received_version(&other, 7, true, now);
 	vfy_failed(&other);
 	CU_ASSERT_EQUAL(next(&other, -1, NEVER, now + VFY_RETRY_MS),
 			VFY_CHANGES);
@@ -61,41 +61,42 @@
 
 static void the_first_one_waits_for_a_change(void)
 {
-	struct vfy_state s = { .place = 0, .age_ms = 50 };
+	struct vfy_input s = { .watcher_rank = 0, .age_ms = 50 };
 	struct vfy v = { .revision = 7, .revision_ms = 1000, .in_force = true };
 	int wait_ms;
 
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 1000, &wait_ms), VFY_CHANGES);
-	CU_ASSERT_EQUAL(wait_ms, VFY_WAIT_MS);
+	CU_ASSERT_EQUAL(wait_ms, VFY_LONG_POLL_MS);
 	CU_ASSERT_EQUAL(vfy_unchanged(&v, 9, 2010),
-			1000 + VFY_WAIT_MS - VFY_NOTICE_MS);
+			1000 + VFY_LONG_POLL_MS - VFY_MAX_NOTIFY_DELAY_MS);
 	/* Overdue, or wanted by a request: at once. */
-	s.age_ms = VFY_AGE_MS;
+	s.age_ms = VFY_MAX_AGE_MS;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 2500, &wait_ms), VFY_CHANGES);
 	CU_ASSERT_EQUAL(wait_ms, 0);
 	CU_ASSERT_EQUAL(vfy_unchanged(&v, 9, 2508), 2500);
 	s.age_ms = 50;
-	s.wanted = true;
+	s.request_waiting = true;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 2510, &wait_ms), VFY_CHANGES);
 	CU_ASSERT_EQUAL(wait_ms, 0);
 }
 
 static void others_ask_only_when_they_hear_nothing(void)
 {
-	struct vfy_state s = { .place = -1, .age_ms = VFY_AGE_MS };
+	struct vfy_input s = { .watcher_rank = -1, .age_ms = VFY_MAX_AGE_MS };
 	struct vfy v = { .revision = 7, .revision_ms = 1000, .in_force = true };
 	int wait_ms;
 
-	CU_ASSERT_EQUAL(next(&v, 1, VFY_AGE_MS, 2000), VFY_NONE);
+	CU_ASSERT_EQUAL(next(&v, 1, VFY_MAX_AGE_MS, 2000), VFY_NONE);
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 2000, &wait_ms), VFY_NONE);
 	s.behind = true;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 2000, &wait_ms), VFY_CHANGES);
-	vfy_brought(&v, 9, true, 2010);
+	vfy_received_version(&v, 9, true, 2010);
 	s.behind = false;
-	s.age_ms = VFY_AGE_MS + VFY_OTHERS_MS + VFY_SPREAD_MS;
+	s.age_ms = VFY_MAX_AGE_MS + VFY_NON_WATCHER_DELAY_MS +
+		   VFY_NON_WATCHER_JITTER_MS;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 4000, &wait_ms), VFY_CHANGES);
-	vfy_brought(&v, 9, true, 4010);
-	CU_ASSERT_EQUAL(next(&v, 1, VFY_AGE_MS + VFY_STEP_MS, 6000),
+	vfy_received_version(&v, 9, true, 4010);
+	CU_ASSERT_EQUAL(next(&v, 1, VFY_MAX_AGE_MS + VFY_RANK_STEP_MS, 6000),
 			VFY_CHANGES);
 }
 
@@ -106,12 +107,12 @@
  */
 static void one_reading_at_a_time(void)
 {
-	struct vfy_state s = { .place = -1, .age_ms = NEVER };
+	struct vfy_input s = { .watcher_rank = -1, .age_ms = NEVER };
 	struct vfy v = { 0 };
 	int wait_ms;
 
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 10, &wait_ms), VFY_READ);
-	s.behind = s.wanted = true;
+	s.behind = s.request_waiting = true;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 5000, &wait_ms), VFY_NONE);
 }
 
@@ -126,11 +127,11 @@
 	struct vfy v = { .revision = 7, .revision_ms = 1000, .in_force = true };
 
 	CU_ASSERT_EQUAL(next(&v, 0, 100, 1000), VFY_CHANGES);
-	vfy_brought(&v, 8, false, 1010);
-	CU_ASSERT_EQUAL(next(&v, 0, VFY_AGE_MS, 3000), VFY_CHANGES);
+	vfy_received_version(&v, 8, false, 1010);
+	CU_ASSERT_EQUAL(next(&v, 0, VFY_MAX_AGE_MS, 3000), VFY_CHANGES);
 	CU_ASSERT_EQUAL(vfy_unchanged(&v, 8, 3010), 0);
-	CU_ASSERT_EQUAL(next(&v, 0, VFY_AGE_MS, 4000), VFY_CHANGES);
-	vfy_brought(&v, 9, true, 4010);
+	CU_ASSERT_EQUAL(next(&v, 0, VFY_MAX_AGE_MS, 4000), VFY_CHANGES);
+	vfy_received_version(&v, 9, true, 4010);
 	CU_ASSERT_EQUAL(next(&v, 0, 100, 5000), VFY_CHANGES);
 	CU_ASSERT(vfy_unchanged(&v, 9, 6010) > 0);
 }
@@ -142,9 +143,10 @@
 	CU_ASSERT_EQUAL(next(&v, 0, 100, 1000), VFY_CHANGES);
 	vfy_history_lost(&v);
 	CU_ASSERT_EQUAL(next(&v, 0, 100, 1001), VFY_READ);
-	vfy_brought(&v, 20, true, 1010);
+	vfy_received_version(&v, 20, true, 1010);
 	/* The store may have dropped what is older: not asked in vain. */
-	CU_ASSERT_EQUAL(next(&v, -1, NEVER, 1011 + VFY_HISTORY_MS), VFY_READ);
+	CU_ASSERT_EQUAL(next(&v, -1, NEVER, 1011 + VFY_MAX_REVISION_AGE_MS),
+			VFY_READ);
 }
 
 /*
@@ -155,13 +157,13 @@
  */
 static void a_version_is_asked_of_the_followed_entry_first(void)
 {
-	struct vfy_state s = { .place = -1,
+	struct vfy_input s = { .watcher_rank = -1,
 			       .behind = true,
-			       .named = 8,
-			       .follows = true,
-			       .spread = VFY_PEER_SPREAD_MS - 1 };
+			       .announced_version = 8,
+			       .has_followed_entry = true,
+			       .jitter_seed = VFY_PEER_JITTER_MS - 1 };
 	struct vfy v = { .revision = 7, .revision_ms = 1000, .in_force = true };
-	const int64_t due = 2000 + VFY_PEER_MS + VFY_PEER_SPREAD_MS;
+	const int64_t due = 2000 + VFY_PEER_DELAY_MS + VFY_PEER_JITTER_MS;
 	int wait_ms;
 
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, 2000, &wait_ms), VFY_NONE);
@@ -174,24 +176,26 @@
 	vfy_failed(&v);
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, due + 20 + VFY_RETRY_MS, &wait_ms),
 			VFY_CHANGES);
-	vfy_brought(&v, 9, true, due + 400);
+	vfy_received_version(&v, 9, true, due + 400);
 	/* The next version is asked for anew; a request does not wait for it. */
-	s.named = 9;
+	s.announced_version = 9;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, due + 900, &wait_ms), VFY_PEER);
 	vfy_peer_failed(&v);
-	s.named = 10;
-	s.wanted = true;
+	s.announced_version = 10;
+	s.request_waiting = true;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, due + 1000, &wait_ms), VFY_CHANGES);
-	vfy_brought(&v, 10, true, due + 1010);
+	vfy_received_version(&v, 10, true, due + 1010);
 	/* Those that watch the store ask it themselves. */
-	s = (struct vfy_state){ .place = 2, .behind = true, .named = 11 };
-	s.follows = true;
+	s = (struct vfy_input){ .watcher_rank = 2,
+				.behind = true,
+				.announced_version = 11 };
+	s.has_followed_entry = true;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, due + 2000, &wait_ms), VFY_CHANGES);
 }
 
 /* ---- Schedules ---- */
 
-/* A waiting watch may see a change so much later; below VFY_NOTICE_MS. */
+/* A waiting watch may see a change so much later; below VFY_MAX_NOTIFY_DELAY_MS. */
 #define NOTICE_MS 60
 
 /* A store whose version changes, and one entry that asks it. */
@@ -220,13 +224,13 @@
 
 static void ask(struct world *w, uint64_t seed)
 {
-	const struct vfy_state s = {
-		.place = seed % 3 ? 0 : -1,
+	const struct vfy_input s = {
+		.watcher_rank = seed % 3 ? 0 : -1,
 		.age_ms = w->fresh_ms ? w->now - w->fresh_ms : NEVER,
-		.wanted = !rnd_below(&w->r, 300),
+		.request_waiting = !rnd_below(&w->r, 300),
 		.behind = w->named > w->held,
-		.named = w->named,
-		.follows = true,
+		.announced_version = w->named,
+		.has_followed_entry = true,
 	};
 
 	if (w->version > 1 && !rnd_below(&w->r, 30))
@@ -256,14 +260,14 @@
 		if (w->held != w->version)
 			w->outdated_ms = w->written_ms;
 	}
-	vfy_brought(&w->v, w->told_revision, true, w->now);
+	vfy_received_version(&w->v, w->told_revision, true, w->now);
 }
 
 static void arrive(struct world *w)
 {
 	const enum vfy_call call = w->call;
 	const bool same = call == VFY_CHANGES && w->told == w->held;
-	int64_t at = vfy_asked_ms(&w->v);
+	int64_t at = vfy_as_of_ms(&w->v);
 
 	w->call = VFY_NONE;
 	if (!rnd_below(&w->r, 10)) {
@@ -281,7 +285,7 @@
 		at = vfy_unchanged(&w->v, w->told_revision, w->now);
 	} else {
 		w->held = w->told;
-		vfy_brought(&w->v, w->told_revision, true, w->now);
+		vfy_received_version(&w->v, w->told_revision, true, w->now);
 		if (w->held != w->version)
 			w->outdated_ms = w->written_ms;
 	}
