--- a/bench/bench_scale.c
+++ b/bench/bench_scale.c
@@ -121,8 +121,8 @@
 static void op_judge(void *arg, unsigned i)
 {
 	struct bench *b = arg;
-	struct judge_ask q = {
-		.view = 1, .slot = b->slot, .claimant = 7, .birth_ms = 1000
+	struct judge_request q = {
+		.view = 1, .slot = b->slot, .claimant = 7, .issued_ms = 1000
 	};
 
 	snprintf(q.key, sizeof(q.key), "g1-1-00000000-0000000000000000.%u", i);
@@ -131,7 +131,7 @@
 
 static void op_claim(void *arg, unsigned i)
 {
-	const struct judge_reply r = { JUDGE_FIRST, JUDGE_OK, 5 };
+	const struct judge_reply r = { JUDGE_VOTE_GRANTED, JUDGE_OK, 5 };
 	struct claim c;
 
 	(void)arg;
--- a/lib/claim/claim.c
+++ b/lib/claim/claim.c
@@ -18,18 +18,18 @@
 	if (reply->verdict == JUDGE_REFUSED) {
 		if (reply->reason == JUDGE_EXPIRED)
 			c->expired = true;
-		claim_lost(c, place);
+		claim_no_answer(c, place);
 		return;
 	}
 	c->state[place] = CLAIM_VOTED;
-	c->voted_for[place] = reply->taken_by;
+	c->voted_for[place] = reply->voted_for;
 }
 
-void claim_lost(struct claim *c, unsigned place)
+void claim_no_answer(struct claim *c, unsigned place)
 {
 	/* A vote once heard stays: judges never take one back. */
 	if (c->state[place] != CLAIM_VOTED)
-		c->state[place] = CLAIM_LOST;
+		c->state[place] = CLAIM_NO_VOTE;
 }
 
 /* Two of three; with one or two judges in a small view, all of them. */
@@ -68,7 +68,7 @@
 		return winner == c->self ? CLAIM_WON : CLAIM_JOIN;
 	for (i = 0; i < c->nr_judges; i++) {
 		known += c->state[i] == CLAIM_VOTED;
-		silent += c->state[i] == CLAIM_SILENT;
+		silent += c->state[i] == CLAIM_AWAITED;
 	}
 	if (known == c->nr_judges && known > 0)
 		return CLAIM_BURNED;
--- a/lib/claim/claim.h
+++ b/lib/claim/claim.h
@@ -17,16 +17,16 @@
 	CLAIM_UNKNOWN, /* too few judges answered to tell */
 };
 
-enum claim_state {
-	CLAIM_SILENT,
+enum claim_vote_state {
+	CLAIM_AWAITED,
 	CLAIM_VOTED,
-	CLAIM_LOST
+	CLAIM_NO_VOTE
 };
 
 struct claim {
 	uint64_t self;
 	unsigned nr_judges;
-	enum claim_state state[VIEW_JUDGES];
+	enum claim_vote_state state[VIEW_JUDGES];
 	uint64_t voted_for[VIEW_JUDGES];
 	bool expired;
 };
@@ -39,7 +39,7 @@
 		  const struct judge_reply *reply);
 
 /* Judge `place` and its stand-in gave no answer in time. */
-void claim_lost(struct claim *c, unsigned place);
+void claim_no_answer(struct claim *c, unsigned place);
 
 /* Where the claim stands; final unless CLAIM_PENDING. */
 enum claim_outcome claim_outcome(const struct claim *c);
--- a/lib/claim/grant.c
+++ b/lib/claim/grant.c
@@ -25,7 +25,7 @@
 	char mac[17];
 
 	snprintf(body, sizeof(body), "g%llx-%llx-%s",
-		 (unsigned long long)g->view, (unsigned long long)g->birth_ms,
+		 (unsigned long long)g->view, (unsigned long long)g->issued_ms,
 		 g->nonce);
 	grant_mac(body, account, secret, mac);
 	snprintf(out, GRANT_MAX, "%.52s-%s", body, mac);
@@ -75,6 +75,6 @@
 	    text[end])
 		return err_set(e, ERR_INVALID, "the grant cannot be read");
 	out->view = view;
-	out->birth_ms = (int64_t)birth;
+	out->issued_ms = (int64_t)birth;
 	return 0;
 }
--- a/lib/claim/grant.h
+++ b/lib/claim/grant.h
@@ -19,8 +19,8 @@
 
 struct grant {
 	uint64_t view;
-	int64_t birth_ms; /* wall clock */
-	char nonce[9];	  /* 8 hex digits; its hash is the slot */
+	int64_t issued_ms; /* wall clock */
+	char nonce[9];	   /* 8 hex digits; its hash is the slot */
 };
 
 /* Writes the text of `g` for `account`. */
--- a/lib/claim/judge.c
+++ b/lib/claim/judge.c
@@ -98,7 +98,7 @@
 	struct vote *v;
 
 	cds_list_for_each_entry(v, head, bucket) {
-		if (v->hash == hash && v->v.place == place &&
+		if (v->hash == hash && v->v.judge_index == place &&
 		    !strcmp(v->v.key, key))
 			return v;
 	}
@@ -116,7 +116,7 @@
 	while (pos != &j->by_age) {
 		struct vote *o = cds_list_entry(pos, struct vote, age);
 
-		if (o->v.birth_ms <= v->v.birth_ms)
+		if (o->v.issued_ms <= v->v.issued_ms)
 			break;
 		pos = pos->prev;
 	}
@@ -128,7 +128,7 @@
 	struct vote *v = mem_new(sizeof(*v));
 
 	v->v = *jv;
-	v->hash = vote_hash(jv->key, jv->place);
+	v->hash = vote_hash(jv->key, jv->judge_index);
 	cds_list_add(&v->bucket, &j->buckets[v->hash & (j->nr_buckets - 1)]);
 	insert_by_age(j, v);
 	j->count++;
@@ -151,7 +151,7 @@
 
 	see_time(j, wall_ms);
 	cds_list_for_each_entry_safe(v, tmp, &j->by_age, age) {
-		if (!expired(j, v->v.birth_ms))
+		if (!expired(j, v->v.issued_ms))
 			break;
 		drop_vote(j, v);
 	}
@@ -178,27 +178,27 @@
 
 static enum judge_reason check_ask(const struct judge *j,
 				   const struct view *view,
-				   const struct judge_ask *ask)
+				   const struct judge_request *ask)
 {
 	const struct view_slot *s;
 	uint64_t judge;
 
 	if (ask->slot >= VIEW_SLOTS || !*ask->key ||
-	    ask->birth_ms > j->now_ms + MAX_BIRTH_AHEAD_MS || !ask->claimant)
-		return JUDGE_BAD_ASK;
+	    ask->issued_ms > j->now_ms + MAX_BIRTH_AHEAD_MS || !ask->claimant)
+		return JUDGE_BAD_REQUEST;
 	if (!view || view->number != ask->view)
 		return JUDGE_UNKNOWN_VIEW;
 	s = &view->slots[ask->slot];
-	if (ask->place >= s->nr_judges)
-		return JUDGE_BAD_ASK;
+	if (ask->judge_index >= s->nr_judges)
+		return JUDGE_BAD_REQUEST;
 	/* Before anything else: once stopped, no vote of ours may change. */
 	if (j->stopped)
 		return JUDGE_LEAVING;
-	judge = view->members[s->judge[ask->place]].id;
+	judge = view->members[s->judge[ask->judge_index]].id;
 	if (judge != j->self && !(is_reserve(view, s, j->self) &&
 				  has_adopted(j, judge, view->number)))
 		return JUDGE_NOT_MINE;
-	if (expired(j, ask->birth_ms))
+	if (expired(j, ask->issued_ms))
 		return JUDGE_EXPIRED;
 	return JUDGE_OK;
 }
@@ -211,9 +211,10 @@
 }
 
 struct judge_reply judge_decide(struct judge *j, const struct view *view,
-				const struct judge_ask *ask, int64_t wall_ms)
+				const struct judge_request *ask,
+				int64_t wall_ms)
 {
-	struct judge_reply r = { JUDGE_FIRST, JUDGE_OK, ask->claimant };
+	struct judge_reply r = { JUDGE_VOTE_GRANTED, JUDGE_OK, ask->claimant };
 	enum judge_reason why;
 	const struct vote *old;
 	struct judge_vote v;
@@ -222,21 +223,21 @@
 	why = check_ask(j, view, ask);
 	if (why != JUDGE_OK)
 		return refuse(why);
-	old = find_vote(j, ask->key, ask->place);
+	old = find_vote(j, ask->key, ask->judge_index);
 	if (old) {
-		r.taken_by = old->v.claimant;
+		r.voted_for = old->v.claimant;
 		if (old->v.claimant != ask->claimant)
-			r.verdict = JUDGE_TAKEN;
+			r.verdict = JUDGE_VOTE_TAKEN;
 		return r;
 	}
 	if (j->count >= j->max_votes)
 		return refuse(JUDGE_FULL);
 	str_copy(v.key, ask->key, sizeof(v.key));
 	v.claimant = ask->claimant;
-	v.birth_ms = ask->birth_ms;
+	v.issued_ms = ask->issued_ms;
 	v.view = ask->view;
 	v.slot = (uint16_t)ask->slot;
-	v.place = (uint8_t)ask->place;
+	v.judge_index = (uint8_t)ask->judge_index;
 	add_vote(j, &v);
 	return r;
 }
@@ -271,7 +272,7 @@
 		const struct view_slot *s = &view->slots[v->v.slot];
 
 		if (v->v.view == view->number &&
-		    view->members[s->judge[v->v.place]].id == j->self &&
+		    view->members[s->judge[v->v.judge_index]].id == j->self &&
 		    is_reserve(view, s, reserve))
 			out[(*n)++] = v->v;
 	}
@@ -286,13 +287,13 @@
 	if (v->slot >= VIEW_SLOTS || v->view != view->number)
 		return false;
 	s = &view->slots[v->slot];
-	return v->place < s->nr_judges && is_reserve(view, s, j->self) &&
-	       view->members[s->judge[v->place]].id == from &&
+	return v->judge_index < s->nr_judges && is_reserve(view, s, j->self) &&
+	       view->members[s->judge[v->judge_index]].id == from &&
 	       memchr(v->key, '\0', sizeof(v->key));
 }
 
-bool judge_adopt(struct judge *j, const struct view *view, uint64_t from,
-		 const struct judge_vote *votes, size_t n, int64_t wall_ms)
+bool judge_import(struct judge *j, const struct view *view, uint64_t from,
+		  const struct judge_vote *votes, size_t n, int64_t wall_ms)
 {
 	struct adoption *a;
 	size_t i;
@@ -309,7 +310,7 @@
 			return false;
 	}
 	for (i = 0; i < n; i++) {
-		if (!find_vote(j, votes[i].key, votes[i].place))
+		if (!find_vote(j, votes[i].key, votes[i].judge_index))
 			add_vote(j, &votes[i]);
 	}
 	a = mem_new(sizeof(*a));
--- a/lib/claim/judge.h
+++ b/lib/claim/judge.h
@@ -27,8 +27,8 @@
 #include "member/view.h"
 
 enum judge_verdict {
-	JUDGE_FIRST,
-	JUDGE_TAKEN,
+	JUDGE_VOTE_GRANTED,
+	JUDGE_VOTE_TAKEN,
 	JUDGE_REFUSED
 };
 
@@ -39,33 +39,33 @@
 	JUDGE_EXPIRED,	    /* the key's life is over */
 	JUDGE_FULL,	    /* the bound on votes is reached */
 	JUDGE_LEAVING,	    /* votes were or will be handed on */
-	JUDGE_BAD_ASK,	    /* out of range; a peer's fault */
+	JUDGE_BAD_REQUEST,  /* out of range; a peer's fault */
 	JUDGE_REASONS,
 };
 
-struct judge_ask {
+struct judge_request {
 	char key[GRANT_KEY_MAX];
 	uint64_t view;
 	unsigned slot;
-	unsigned place;	   /* which of the slot's judges is asked */
-	uint64_t claimant; /* incarnation that wants to call */
-	int64_t birth_ms;  /* wall clock, from the grant */
+	unsigned judge_index; /* which of the slot's judges is asked */
+	uint64_t claimant;    /* incarnation that wants to call */
+	int64_t issued_ms;    /* wall clock, from the grant */
 };
 
 struct judge_reply {
 	enum judge_verdict verdict;
 	enum judge_reason reason;
-	uint64_t taken_by; /* the holder of the vote, if there is one */
+	uint64_t voted_for; /* the holder of the vote, if there is one */
 };
 
 /* One vote as it is handed on. */
 struct judge_vote {
 	char key[GRANT_KEY_MAX];
 	uint64_t claimant;
-	int64_t birth_ms;
+	int64_t issued_ms;
 	uint64_t view;
 	uint16_t slot;
-	uint8_t place;
+	uint8_t judge_index;
 };
 
 struct judge;
@@ -80,7 +80,8 @@
  * not known. Never fails: a wrong ask is JUDGE_REFUSED with a reason.
  */
 struct judge_reply judge_decide(struct judge *j, const struct view *view,
-				const struct judge_ask *ask, int64_t wall_ms);
+				const struct judge_request *ask,
+				int64_t wall_ms);
 
 /* Looks without voting: the claimant that holds the vote, or 0. */
 uint64_t judge_peek(const struct judge *j, const char *key, unsigned place);
@@ -101,8 +102,8 @@
  * the reserve. All or nothing and idempotent. False if refused: not the
  * reserve, `from` is not in the view, leaving itself, or no room.
  */
-bool judge_adopt(struct judge *j, const struct view *view, uint64_t from,
-		 const struct judge_vote *votes, size_t n, int64_t wall_ms);
+bool judge_import(struct judge *j, const struct view *view, uint64_t from,
+		  const struct judge_vote *votes, size_t n, int64_t wall_ms);
 
 /* Forgets keys past their life; cheap, call about once a second. */
 void judge_expire(struct judge *j, int64_t wall_ms);
--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -24,7 +24,8 @@
 
 /* ---- Answering ---- */
 
-struct judge_reply ent_judge_ask(struct entry *en, const struct judge_ask *ask)
+struct judge_reply ent_judge_ask(struct entry *en,
+				 const struct judge_request *ask)
 {
 	struct judge_reply r;
 
@@ -131,7 +132,7 @@
 	if (reply)
 		claim_answer(&b->claim, place, reply);
 	else
-		claim_lost(&b->claim, place);
+		claim_no_answer(&b->claim, place);
 	b->pending[place] = false;
 	pthread_cond_broadcast(&b->changed);
 }
@@ -150,7 +151,7 @@
 					? (enum judge_verdict)r->verdict
 					: JUDGE_REFUSED;
 		reply.reason = (enum judge_reason)r->reason;
-		reply.taken_by = r->taken_by;
+		reply.voted_for = r->taken_by;
 		if (r->held && a->with_record && !b->held) {
 			b->held = true;
 			b->held_place = a->place;
@@ -179,7 +180,7 @@
 }
 
 static void ask_self(struct ballot *b, unsigned place,
-		     const struct judge_ask *ask)
+		     const struct judge_request *ask)
 {
 	const struct judge_reply r = ent_judge_ask(b->en, ask);
 
@@ -193,12 +194,12 @@
 {
 	const struct target *t = at_reserve ? &b->reserve : &b->judge[place];
 	struct entry *en = b->en;
-	struct judge_ask local = {
+	struct judge_request local = {
 		.view = b->rq->slot_view,
 		.slot = b->rq->slot,
-		.place = place,
+		.judge_index = place,
 		.claimant = en->self.id,
-		.birth_ms = b->rq->birth_ms,
+		.issued_ms = b->rq->birth_ms,
 	};
 	peer_claim_args *args;
 	struct link_call c;
@@ -216,7 +217,7 @@
 	args->slot = local.slot;
 	args->place = place;
 	args->claimant = local.claimant;
-	args->birth_ms = local.birth_ms;
+	args->birth_ms = local.issued_ms;
 	if (with_record) {
 		args->record = mem_new(sizeof(*args->record));
 		ent_fill_record(b->rq, args->record);
@@ -574,7 +575,7 @@
 	}
 	if (found) {
 		g->view = v->number;
-		g->birth_ms = clk_wall_ms(en->clk);
+		g->issued_ms = clk_wall_ms(en->clk);
 	}
 	pub_read_unlock();
 	return found;
@@ -591,9 +592,9 @@
 	for (i = 0; i < n; i++) {
 		a->votes.votes_val[i].key = mem_dup(v[i].key);
 		a->votes.votes_val[i].claimant = v[i].claimant;
-		a->votes.votes_val[i].birth_ms = v[i].birth_ms;
+		a->votes.votes_val[i].birth_ms = v[i].issued_ms;
 		a->votes.votes_val[i].slot = v[i].slot;
-		a->votes.votes_val[i].place = v[i].place;
+		a->votes.votes_val[i].place = v[i].judge_index;
 	}
 }
 
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -192,7 +192,7 @@
 		}
 		str_copy(key, given, sizeof(key));
 	}
-	if (clk_wall_ms(en->clk) > g.birth_ms + en->set.key_life_ms) {
+	if (clk_wall_ms(en->clk) > g.issued_ms + en->set.key_life_ms) {
 		ent_refuse(
 			en, c->rq, 410, "unknown", 0, "Key expired",
 			"the key's life is over; whether it ran cannot be told "
@@ -202,7 +202,7 @@
 	*out = ent_req_create(en, key);
 	(*out)->slot_view = g.view;
 	(*out)->slot = view_slot_of(g.nonce);
-	(*out)->birth_ms = g.birth_ms;
+	(*out)->birth_ms = g.issued_ms;
 	str_copy((*out)->account, c->account, sizeof((*out)->account));
 	str_copy((*out)->service, c->service, sizeof((*out)->service));
 	(*out)->weight = c->weight;
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -161,12 +161,12 @@
 bool_t peer_claim_1_svc(peer_claim_args a, peer_claim_reply *r,
 			struct svc_req *q)
 {
-	struct judge_ask ask = {
+	struct judge_request ask = {
 		.view = a.view,
 		.slot = a.slot,
-		.place = a.place,
+		.judge_index = a.place,
 		.claimant = a.claimant,
-		.birth_ms = a.birth_ms,
+		.issued_ms = a.birth_ms,
 	};
 	struct judge_reply reply;
 
@@ -177,8 +177,8 @@
 	reply = ent_judge_ask(serving, &ask);
 	r->verdict = reply.verdict;
 	r->reason = reply.reason;
-	r->taken_by = reply.taken_by;
-	if (reply.verdict == JUDGE_FIRST && a.record)
+	r->taken_by = reply.voted_for;
+	if (reply.verdict == JUDGE_VOTE_GRANTED && a.record)
 		r->held = ent_take_record(serving, a.record, a.view, a.slot,
 					  a.birth_ms);
 	return TRUE;
@@ -238,17 +238,17 @@
 			return TRUE;
 		str_copy(v[i].key, p->key, sizeof(v[i].key));
 		v[i].claimant = p->claimant;
-		v[i].birth_ms = p->birth_ms;
+		v[i].issued_ms = p->birth_ms;
 		v[i].view = a.view;
 		v[i].slot = (uint16_t)p->slot;
-		v[i].place = (uint8_t)p->place;
+		v[i].judge_index = (uint8_t)p->place;
 	}
 	pub_read_lock();
 	pthread_mutex_lock(&serving->judge_lock);
-	*r = judge_adopt(serving->judge,
-			 ent_snap_view(ent_snap(serving), a.view),
-			 sender(&a.head), v, a.votes.votes_len,
-			 clk_wall_ms(serving->clk));
+	*r = judge_import(serving->judge,
+			  ent_snap_view(ent_snap(serving), a.view),
+			  sender(&a.head), v, a.votes.votes_len,
+			  clk_wall_ms(serving->clk));
 	pthread_mutex_unlock(&serving->judge_lock);
 	pub_read_unlock();
 	return TRUE;
--- a/lib/entry/entry_internal.h
+++ b/lib/entry/entry_internal.h
@@ -387,7 +387,8 @@
  * owner. Returns at once; what the judge says is logged.
  */
 void ent_rehome(struct entry *en, struct ent_req *rq);
-struct judge_reply ent_judge_ask(struct entry *en, const struct judge_ask *ask);
+struct judge_reply ent_judge_ask(struct entry *en,
+				 const struct judge_request *ask);
 /*
  * Addresses that may know about a key: the winner (0: not known) if it is a
  * member, then the judges of the key.
--- a/tests/support/sched_claims.c
+++ b/tests/support/sched_claims.c
@@ -238,12 +238,12 @@
 {
 	struct node *n = &w->nodes[m->to];
 	const struct attempt *a = &w->attempts[m->attempt];
-	struct judge_ask q = {
+	struct judge_request q = {
 		.view = w->views[a->key] + 1,
 		.slot = w->slots[a->key],
-		.place = m->place,
+		.judge_index = m->place,
 		.claimant = a->id,
-		.birth_ms = 1,
+		.issued_ms = 1,
 	};
 	struct msg *r;
 	int64_t d;
@@ -335,7 +335,7 @@
 		if (a->claim.state[i] == CLAIM_VOTED)
 			continue;
 		if (a->asked_reserves)
-			claim_lost(&a->claim, i);
+			claim_no_answer(&a->claim, i);
 		else
 			ask(w, m->attempt, i, true);
 	}
@@ -398,8 +398,8 @@
 	struct node *n = &w->nodes[m->to];
 
 	if (!n->dead)
-		judge_adopt(n->judge, w->u->views[m->view], m->from_id,
-			    m->votes, m->nr_votes, w->now);
+		judge_import(n->judge, w->u->views[m->view], m->from_id,
+			     m->votes, m->nr_votes, w->now);
 	free(m->votes);
 	m->votes = NULL;
 }
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -24,14 +24,14 @@
 	return view_create(number, m, 6);
 }
 
-static struct judge_ask ask_for(const char *key, unsigned slot, unsigned place,
-				uint64_t claimant)
+static struct judge_request ask_for(const char *key, unsigned slot,
+				    unsigned place, uint64_t claimant)
 {
-	struct judge_ask q = { .view = 1,
-			       .slot = slot,
-			       .place = place,
-			       .claimant = claimant,
-			       .birth_ms = 1000 };
+	struct judge_request q = { .view = 1,
+				   .slot = slot,
+				   .judge_index = place,
+				   .claimant = claimant,
+				   .issued_ms = 1000 };
 
 	snprintf(q.key, sizeof(q.key), "%s", key);
 	return q;
@@ -60,7 +60,7 @@
 	snprintf(key, sizeof(key), "%s.order-1", text);
 	CU_ASSERT_EQUAL(grant_parse(key, "quay", "secret", &back, &e), 0);
 	CU_ASSERT_EQUAL(back.view, 7);
-	CU_ASSERT_EQUAL(back.birth_ms, 123456);
+	CU_ASSERT_EQUAL(back.issued_ms, 123456);
 	CU_ASSERT_STRING_EQUAL(back.nonce, "0a0b0c0d");
 	/* Another account's, another secret's, an altered birth. */
 	CU_ASSERT_EQUAL(grant_parse(key, "auction", "secret", &back, &e), -1);
@@ -96,7 +96,7 @@
 		const unsigned place = rnd_below(&rnd, 3);
 		const uint64_t who = 1 + rnd_below(&rnd, 3);
 		char key[16];
-		struct judge_ask q;
+		struct judge_request q;
 		struct judge_reply r;
 
 		snprintf(key, sizeof(key), "k%u", rnd_below(&rnd, 300));
@@ -115,10 +115,10 @@
 			seen[nr].place = place;
 			seen[nr++].claimant = who;
 		}
-		CU_ASSERT_EQUAL(r.taken_by, seen[i].claimant);
+		CU_ASSERT_EQUAL(r.voted_for, seen[i].claimant);
 		CU_ASSERT_EQUAL(r.verdict, seen[i].claimant == who
-						   ? JUDGE_FIRST
-						   : JUDGE_TAKEN);
+						   ? JUDGE_VOTE_GRANTED
+						   : JUDGE_VOTE_TAKEN);
 	}
 	CU_ASSERT_EQUAL(judge_count(j), nr);
 	judge_free(j);
@@ -135,9 +135,10 @@
 {
 	struct view *v = make_view(1);
 	struct judge *j = judge_create(judge_id(v, 9, 0), LIFE, 16);
-	struct judge_ask q = ask_for("k", 9, 0, 5);
+	struct judge_request q = ask_for("k", 9, 0, 5);
 
-	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).verdict, JUDGE_FIRST);
+	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).verdict,
+			JUDGE_VOTE_GRANTED);
 	judge_expire(j, 1000 + LIFE + 1);
 	CU_ASSERT_EQUAL(judge_count(j), 0);
 	q.claimant = 6;
@@ -159,11 +160,12 @@
 	struct judge *j = judge_create(judge_id(v, slot, 1), LIFE, 16);
 	struct judge *r = judge_create(reserve_id(v, slot), LIFE, 16);
 	struct judge *other = judge_create(judge_id(v, slot, 2), LIFE, 16);
-	struct judge_ask q = ask_for("k", slot, 1, 5);
+	struct judge_request q = ask_for("k", slot, 1, 5);
 	struct judge_vote *votes;
 	size_t n;
 
-	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).verdict, JUDGE_FIRST);
+	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).verdict,
+			JUDGE_VOTE_GRANTED);
 	q.claimant = 6;
 	/* Not adopted yet: the reserve refuses. */
 	CU_ASSERT_EQUAL(judge_decide(r, v, &q, 1500).reason, JUDGE_NOT_MINE);
@@ -171,11 +173,12 @@
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).reason, JUDGE_LEAVING);
 	votes = judge_export(j, v, reserve_id(v, slot), &n);
 	CU_ASSERT_EQUAL(n, 1);
-	CU_ASSERT(!judge_adopt(other, v, judge_id(v, slot, 1), votes, n, 1500));
-	CU_ASSERT(judge_adopt(r, v, judge_id(v, slot, 1), votes, n, 1500));
-	CU_ASSERT(judge_adopt(r, v, judge_id(v, slot, 1), votes, n, 1500));
-	CU_ASSERT_EQUAL(judge_decide(r, v, &q, 1500).verdict, JUDGE_TAKEN);
-	CU_ASSERT_EQUAL(judge_decide(r, v, &q, 1500).taken_by, 5);
+	CU_ASSERT(
+		!judge_import(other, v, judge_id(v, slot, 1), votes, n, 1500));
+	CU_ASSERT(judge_import(r, v, judge_id(v, slot, 1), votes, n, 1500));
+	CU_ASSERT(judge_import(r, v, judge_id(v, slot, 1), votes, n, 1500));
+	CU_ASSERT_EQUAL(judge_decide(r, v, &q, 1500).verdict, JUDGE_VOTE_TAKEN);
+	CU_ASSERT_EQUAL(judge_decide(r, v, &q, 1500).voted_for, 5);
 	free(votes);
 	judge_free(j);
 	judge_free(r);
@@ -197,7 +200,7 @@
 	unsigned slot, refused = 0;
 
 	for (slot = 0; slot < 200; slot++) {
-		const struct judge_ask q = ask_for("k", slot, 0, 5);
+		const struct judge_request q = ask_for("k", slot, 0, 5);
 
 		refused += judge_decide(j, v, &q, 1500).reason ==
 			   JUDGE_NOT_MINE;
@@ -211,21 +214,21 @@
 {
 	struct view *v = make_view(1);
 	struct judge *j = judge_create(judge_id(v, 3, 0), LIFE, 2);
-	struct judge_ask q = ask_for("k", 3, 0, 5);
+	struct judge_request q = ask_for("k", 3, 0, 5);
 
 	CU_ASSERT_EQUAL(judge_decide(j, NULL, &q, 1).reason,
 			JUDGE_UNKNOWN_VIEW);
 	q.view = 2;
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_UNKNOWN_VIEW);
 	q = ask_for("k", VIEW_SLOTS, 0, 5);
-	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_ASK);
+	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
 	q = ask_for("k", 3, 3, 5);
-	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_ASK);
+	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
 	q = ask_for("k", 3, 0, 0);
-	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_ASK);
+	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
 	q = ask_for("k", 3, 0, 5);
-	q.birth_ms = 1000000;
-	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_ASK);
+	q.issued_ms = 1000000;
+	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
 	q = ask_for("k1", 3, 0, 5);
 	judge_decide(j, v, &q, 1500);
 	q = ask_for("k2", 3, 0, 5);
@@ -265,12 +268,14 @@
 
 		claim_start(&c, 100, 3);
 		for (i = 0; i < 3; i++) {
-			const struct judge_reply r = { a[i] == 0 ? JUDGE_FIRST
-								 : JUDGE_TAKEN,
-						       JUDGE_OK, 100 + a[i] };
+			const struct judge_reply r = {
+				a[i] == 0 ? JUDGE_VOTE_GRANTED
+					  : JUDGE_VOTE_TAKEN,
+				JUDGE_OK, 100 + a[i]
+			};
 
 			if (a[i] == 3)
-				claim_lost(&c, i);
+				claim_no_answer(&c, i);
 			else
 				claim_answer(&c, i, &r);
 		}
@@ -281,18 +286,18 @@
 /* One judge that cannot be reached is too few to say "not run". */
 static void one_silent_judge(void)
 {
-	const struct judge_reply mine = { JUDGE_FIRST, JUDGE_OK, 1 };
-	const struct judge_reply theirs = { JUDGE_TAKEN, JUDGE_OK, 2 };
+	const struct judge_reply mine = { JUDGE_VOTE_GRANTED, JUDGE_OK, 1 };
+	const struct judge_reply theirs = { JUDGE_VOTE_TAKEN, JUDGE_OK, 2 };
 	struct claim c;
 
 	claim_start(&c, 1, 3);
 	claim_answer(&c, 0, &mine);
 	claim_answer(&c, 1, &theirs);
 	CU_ASSERT_EQUAL(claim_outcome(&c), CLAIM_PENDING);
-	claim_lost(&c, 2);
+	claim_no_answer(&c, 2);
 	CU_ASSERT_EQUAL(claim_outcome(&c), CLAIM_UNKNOWN);
 	/* A vote that was heard is not lost by a later silence. */
-	claim_lost(&c, 0);
+	claim_no_answer(&c, 0);
 	CU_ASSERT_EQUAL(c.state[0], CLAIM_VOTED);
 }
 
