--- a/lib/config/apply.c
+++ b/lib/config/apply.c
@@ -7,11 +7,11 @@
 #include "base/jsn.h"
 #include "config/doc.h"
 
-/* Reading back is tried this often before the outcome is "unknown". */
+/* Attempts to read the outcome back before it is reported as unknown. */
 #define READ_BACK_TRIES 3
 
 struct stored {
-	bool there;
+	bool exists;
 	int64_t mod_rev;
 	int64_t serial;
 	char change[40];
@@ -38,7 +38,7 @@
 	if (!p.nr)
 		return 0;
 	o = jsn_parse(p.rows[0].value, p.rows[0].len);
-	s->there = true;
+	s->exists = true;
 	s->mod_rev = p.rows[0].mod_rev;
 	s->serial = jsn_int(o, "serial", 0);
 	str_copy(s->change, jsn_str(o, "change", ""), sizeof(s->change));
@@ -69,8 +69,8 @@
 	str_copy(out->their_author, s->author, sizeof(out->their_author));
 }
 
-/* Validated before anything is asked of the service. */
-static bool check_text(const struct apply_change *c, struct err *e)
+/* Validates the document, without a call to the service. */
+static bool validate_text(const struct apply_change *c, struct err *e)
 {
 	struct doc *d = doc_parse(c->what, c->text, e);
 	bool same;
@@ -80,7 +80,7 @@
 	same = !strcmp(d->service, c->service);
 	if (!same)
 		jsn_fault(c->what, c->text, "service", e,
-			  "the document is of \"%s\", not of \"%s\"",
+			  "the document is for service \"%s\", not \"%s\"",
 			  d->service, c->service);
 	doc_free(d);
 	return same;
@@ -98,13 +98,13 @@
 		out->outcome = APPLY_UNKNOWN;
 		return;
 	}
-	if (s.there && !strcmp(s.change, c->change_id)) {
+	if (s.exists && !strcmp(s.change, c->change_id)) {
 		out->outcome = APPLY_ACCEPTED;
 		out->revision = s.serial;
 		buf_free(&s.text);
 		return;
 	}
-	/* Accepted and changed again since: the history has it. */
+	/* Look in the history: a later change may have replaced this one. */
 	snprintf(prefix, sizeof(prefix), "/marldock/hist/%s/", c->service);
 	if (kv->vt->range(kv, prefix, true, &hist, e)) {
 		out->outcome = APPLY_UNKNOWN;
@@ -127,35 +127,36 @@
 	buf_free(&s.text);
 }
 
-enum base {
-	BASE_UNREAD,
-	BASE_SAME,
-	BASE_MOVED
+enum base_state {
+	BASE_UNREADABLE,
+	BASE_UNCHANGED,
+	BASE_CHANGED
 };
 
-/* Whether the document is still as it was when the change was prepared. */
-static enum base compare_base(struct kv *kv, const struct apply_change *c,
-			      const struct stored *s, struct err *e)
+/* Compares the stored document with the state that the write is based on. */
+static enum base_state compare_base(struct kv *kv, const struct apply_change *c,
+				    const struct stored *s, struct err *e)
 {
 	struct stored now;
-	enum base b;
+	enum base_state b;
 
 	if (read_stored(kv, c->service, &now, e))
-		return BASE_UNREAD;
-	b = now.mod_rev == s->mod_rev ? BASE_SAME : BASE_MOVED;
+		return BASE_UNREADABLE;
+	b = now.mod_rev == s->mod_rev ? BASE_UNCHANGED : BASE_CHANGED;
 	buf_free(&now.text);
 	return b;
 }
 
 /*
- * The answer was lost: the write may have taken effect, or still take it. It
- * is the same write under the same compare, so making it again is harmless:
- * at most one of the two can succeed, and then the late one fails.
+ * Determines the outcome of a write whose answer was lost; it may have taken
+ * effect or still do so. Repeating it is safe: both have the same condition,
+ * so at most one of them succeeds.
  */
-static void settle(struct kv *kv, const struct apply_change *c,
-		   const struct stored *s, const struct kv_compare *cmp,
-		   const struct kv_put *puts, int64_t serial,
-		   struct apply_result *out, struct err *e)
+static void resolve_lost_answer(struct kv *kv, const struct apply_change *c,
+				const struct stored *s,
+				const struct kv_compare *cmp,
+				const struct kv_put *puts, int64_t serial,
+				struct apply_result *out, struct err *e)
 {
 	int i;
 
@@ -164,15 +165,15 @@
 		bool done = false;
 
 		switch (compare_base(kv, c, s, e)) {
-		case BASE_UNREAD:
+		case BASE_UNREADABLE:
 			continue;
-		case BASE_MOVED:
-			/* Ours can no longer land: what is read now stands. */
+		case BASE_CHANGED:
+			/* Our write can no longer succeed: final state. */
 			apply_check(kv, c, out, e);
 			if (out->outcome != APPLY_UNKNOWN)
 				return;
 			continue;
-		case BASE_SAME:
+		case BASE_UNCHANGED:
 			break;
 		}
 		if (!kv->vt->txn(kv, cmp, 1, puts, 2, &done, NULL, e) && done) {
@@ -183,9 +184,9 @@
 	}
 	if (out->outcome == APPLY_UNKNOWN)
 		err_set(e, ERR_TIMEOUT,
-			"the service gave no answer; whether change %s was "
-			"accepted is not known. Ask again: marldockctl check "
-			"%s %s",
+			"the key-value service did not answer; whether change "
+			"%s was accepted is unknown. To check again: "
+			"marldockctl check %s %s",
 			c->change_id, c->service, c->change_id);
 }
 
@@ -210,7 +211,8 @@
 		if (e->code == ERR_REFUSED)
 			out->outcome = APPLY_NOT_SENT;
 		else
-			settle(kv, c, s, &cmp, puts, serial, out, e);
+			resolve_lost_answer(kv, c, s, &cmp, puts, serial, out,
+					    e);
 		return true;
 	}
 	if (!done)
@@ -226,7 +228,7 @@
 	struct stored s;
 
 	memset(out, 0, sizeof(*out));
-	if (!check_text(c, e)) {
+	if (!validate_text(c, e)) {
 		out->outcome = APPLY_INVALID;
 		return;
 	}
@@ -237,22 +239,23 @@
 	if (c->base_revision >= 0 && s.serial != c->base_revision) {
 		set_conflict(out, &s);
 		err_set(e, ERR_CONFLICT,
-			"you edited revision %lld, but revision %lld by %s is "
-			"there now",
+			"you edited revision %lld, but the current revision "
+			"is %lld by %s",
 			(long long)c->base_revision, (long long)s.serial,
 			s.author);
-	} else if (s.there && !strcmp(buf_cstr(&s.text), c->text)) {
+	} else if (s.exists && !strcmp(buf_cstr(&s.text), c->text)) {
 		out->outcome = APPLY_UNCHANGED;
 		out->revision = s.serial;
 	} else if (!write_once(kv, c, &s, out, e)) {
 		buf_free(&s.text);
 		if (read_stored(kv, c->service, &s, e)) {
-			/* Our write lost for sure; only theirs is unseen. */
+			/* Our write failed; the other one is unreadable. */
 			out->outcome = APPLY_CONFLICT;
 			return;
 		}
 		set_conflict(out, &s);
-		err_set(e, ERR_CONFLICT, "revision %lld by %s came first",
+		err_set(e, ERR_CONFLICT,
+			"revision %lld by %s was accepted first",
 			(long long)s.serial, s.author);
 	}
 	buf_free(&s.text);
@@ -287,10 +290,14 @@
 
 /* ---- Difference ---- */
 
-/* Documents have some hundred lines; the table of the longest common
- * subsequence is then some 100 KB. Longer texts are compared by prefix. */
+/*
+ * Lines of each text that are compared; the rest is ignored. Documents have
+ * some hundred lines, for which the table of the longest common subsequence
+ * takes some 100 KB.
+ */
 #define DIFF_MAX_LINES 4000
 
+/* The lines of a text, without line feeds. */
 struct lines {
 	const char **at;
 	size_t *len;
@@ -328,9 +335,13 @@
 	buf_fmt(out, "%c%.*s\n", sign, (int)l->len[i], l->at[i]);
 }
 
-/* t[i][j]: longest common part of the lines from i and from j on. */
-static void walk(const struct lines *a, const struct lines *b,
-		 const unsigned short *t, struct buf *out)
+/*
+ * Prints the difference. `t` has b->nr + 1 columns; t[i][j] is the length of
+ * the longest common subsequence of the lines of `a` from i on and of `b` from
+ * j on.
+ */
+static void print_differences(const struct lines *a, const struct lines *b,
+			      const unsigned short *t, struct buf *out)
 {
 	const size_t w = b->nr + 1;
 	size_t i = 0, j = 0;
@@ -376,7 +387,7 @@
 				t[i * w + j] = down > right ? down : right;
 		}
 	}
-	walk(&x, &y, t, out);
+	print_differences(&x, &y, t, out);
 	free(t);
 	free(x.at);
 	free(x.len);
--- a/lib/config/cfg.c
+++ b/lib/config/cfg.c
@@ -4,7 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATH_MAX_BYTES 2048 /* longer paths match by their first bytes */
+/* Longer paths are matched by their first PATH_MAX_BYTES - 1 bytes. */
+#define PATH_MAX_BYTES 2048
 
 struct cfg *cfg_create(void)
 {
@@ -76,7 +77,7 @@
 
 /* ---- Look-ups ---- */
 
-static int order_routes(const void *a, const void *b)
+static int compare_routes(const void *a, const void *b)
 {
 	const struct cfg_route *x = a, *y = b;
 	const int d = strcmp(x->host, y->host);
@@ -84,7 +85,7 @@
 	return d ? d : strcmp(x->prefix, y->prefix);
 }
 
-static int order_keys(const void *a, const void *b)
+static int compare_keys(const void *a, const void *b)
 {
 	return strcmp(((const struct cfg_key *)a)->text,
 		      ((const struct cfg_key *)b)->text);
@@ -101,8 +102,8 @@
 	return NULL;
 }
 
-/* The pace that a service must keep is that of its most demanding route. */
-static void keep_shortest_gap(struct cfg *c, const struct cfg_route *r)
+/* The target of a service is that of its most demanding route. */
+static void update_service_gaps(struct cfg *c, const struct cfg_route *r)
 {
 	struct cfg_service *s;
 	size_t k;
@@ -119,12 +120,12 @@
 	size_t i;
 
 	for (i = 0; i < c->nr_routes; i++)
-		keep_shortest_gap(c, &c->routes[i]);
+		update_service_gaps(c, &c->routes[i]);
 	if (c->nr_routes)
 		qsort(c->routes, c->nr_routes, sizeof(*c->routes),
-		      order_routes);
+		      compare_routes);
 	if (c->nr_keys)
-		qsort(c->keys, c->nr_keys, sizeof(*c->keys), order_keys);
+		qsort(c->keys, c->nr_keys, sizeof(*c->keys), compare_keys);
 }
 
 const struct cfg_route *cfg_route(const struct cfg *c, const char *host,
@@ -140,12 +141,12 @@
 	if (len >= sizeof(prefix))
 		len = sizeof(prefix) - 1;
 	memcpy(prefix, path, len);
-	/* Each prefix ends with a slash: cut back from slash to slash. */
+	/* Prefixes end with a slash: look up each parent path, longest first. */
 	while (len) {
 		prefix[len] = '\0';
 		if (prefix[len - 1] == '/') {
 			r = bsearch(&want, c->routes, c->nr_routes,
-				    sizeof(*c->routes), order_routes);
+				    sizeof(*c->routes), compare_routes);
 			if (r)
 				return r;
 		}
@@ -161,7 +162,7 @@
 
 	if (!c->nr_keys)
 		return NULL;
-	k = bsearch(&want, c->keys, c->nr_keys, sizeof(*c->keys), order_keys);
+	k = bsearch(&want, c->keys, c->nr_keys, sizeof(*c->keys), compare_keys);
 	return k ? &c->accounts[k->account] : NULL;
 }
 
--- a/lib/config/doc.c
+++ b/lib/config/doc.c
@@ -8,7 +8,7 @@
 #include "base/hsh.h"
 #include "base/jsn.h"
 
-/* ---- Tables of fields ---- */
+/* ---- Fields ---- */
 
 #define STR(t, m, pat)                                            \
 	.name = #m, .type = JSN_STR, .at = offsetof(struct t, m), \
@@ -102,9 +102,12 @@
 	JSN_END,
 };
 
-/* ---- Rules between fields ---- */
+/* ---- Validation ---- */
 
-/* Reports the second of two equal names in a list of structs. */
+/*
+ * Reports the second of two equal names in a list of `n` elements of `stride`
+ * bytes, each of which begins with its name.
+ */
 static int check_unique(const char *what, const char *text, const char *list,
 			const void *base, size_t n, size_t stride,
 			const char *field, struct err *e)
@@ -196,8 +199,8 @@
 	return 0;
 }
 
-static int check_whole(const char *what, const char *text, const struct doc *d,
-		       struct err *e)
+static int check_document(const char *what, const char *text,
+			  const struct doc *d, struct err *e)
 {
 	if (check_unique(what, text, "zones", d->zones, d->nr_zones,
 			 DOC_NAME_MAX, "", e) ||
@@ -226,12 +229,15 @@
 	return 0;
 }
 
-/* ---- Reading ---- */
+/* ---- Parsing ---- */
 
-/* A day's slack is never meant: ten minutes for an answer by default. */
+/*
+ * 10 minutes. The maximum of deadline_ms, one day, would be of no use as a
+ * default for a response.
+ */
 #define DEFAULT_DEADLINE_MS 600000
 
-/* About what a 7 B model with grouped heads holds for a token. */
+/* About the size for a 7 B model with grouped-query attention. */
 #define DEFAULT_KV_MB_PER_TOKEN 0.125
 
 struct doc *doc_parse(const char *what, const char *text, struct err *e)
@@ -252,7 +258,7 @@
 	for (i = 0; i < DOC_MAX_CLASSES; i++)
 		d->classes[i].kv_mb_per_token = DEFAULT_KV_MB_PER_TOKEN;
 	if (jsn_read(what, text, doc_fields, d, e) ||
-	    check_whole(what, text, d, e)) {
+	    check_document(what, text, d, e)) {
 		doc_free(d);
 		return NULL;
 	}
--- a/lib/config/doc.h
+++ b/lib/config/doc.h
@@ -1,9 +1,11 @@
 /*
- * doc: the document of one service, which its team owns.
+ * doc (document): the configuration document of one service, which the
+ * service's team maintains.
  *
- * docs/DOCUMENT.md is the written reference. A parsed document is immutable
- * and lives as long as its revision is in force somewhere (life span:
- * version). Validation is whole: what doc_parse accepts can run.
+ * docs/DOCUMENT.md is the reference. A parsed document is immutable and is
+ * kept as long as its revision is in force somewhere (life span: version).
+ * Validation is complete: a document that doc_parse accepts can be put into
+ * force.
  */
 #ifndef DOC_H
 #define DOC_H
@@ -14,7 +16,10 @@
 
 #include "base/err.h"
 
+/* Size of a name in bytes, including the terminating NUL. */
 #define DOC_NAME_MAX 48
+
+/* Maximum number of elements of each list. */
 #define DOC_MAX_MODELS 8
 #define DOC_MAX_ADAPTERS 8
 #define DOC_MAX_CLASSES 8
@@ -23,9 +28,13 @@
 #define DOC_MAX_PLAIN 8
 #define DOC_MAX_ROUTES 16
 
-/* The largest text: the key-value service holds values up to a megabyte. */
+/*
+ * Maximum length of a document in bytes: the key-value service stores values
+ * of up to 1 MB.
+ */
 #define DOC_MAX_TEXT (512 * 1024)
 
+/* Urgency of an account's requests. */
 enum doc_urgency {
 	DOC_INTERACTIVE,
 	DOC_BATCH
@@ -38,36 +47,38 @@
 	size_t nr_adapters;
 	int64_t min_replicas;
 	int64_t max_replicas;
-	double demand_tokens_per_s; /* generated, at the peak */
-	int64_t weights_mb;
+	double demand_tokens_per_s; /* generated tokens, peak demand */
+	int64_t weights_mb;	    /* size of the model weights */
 };
 
-/* A machine class and what one replica on it can do. */
+/* Machine class, and the capacity of one replica on it. */
 struct doc_class {
 	char name[DOC_NAME_MAX];
-	double tokens_per_s;	     /* generated, with all slots busy */
-	double prefill_tokens_per_s; /* prompt tokens read per second */
+	double tokens_per_s;	     /* generated, all slots in use */
+	double prefill_tokens_per_s; /* prompt tokens processed */
 	int64_t slots;		     /* sequences in one batch */
-	double kv_mb_per_s;	     /* export or import of KV cache */
+	double kv_mb_per_s; /* KV cache transfer rate; 0: unsupported */
 	double kv_mb_per_token;
-	bool checks_fence; /* its engines refuse old fences */
+	bool checks_fence; /* engines reject outdated fencing tokens */
 };
 
 struct doc_account {
 	char name[DOC_NAME_MAX];
-	char key_sha256[65];
-	int urgency; /* enum doc_urgency */
-	double weight;
-	double tokens_per_s; /* limit over all entries */
-	int64_t in_flight;   /* limit on one entry */
+	char key_sha256[65]; /* of the API key, in hex */
+	int urgency;	     /* enum doc_urgency */
+	double weight;	     /* relative share under contention */
+	double tokens_per_s; /* rate limit, over all entries */
+	int64_t in_flight;   /* concurrent requests per entry */
 };
 
+/* Call of a plain service; `path` is matched as a whole. */
 struct doc_route {
 	char method[8];
 	char path[96];
-	bool repeatable;
+	bool repeatable; /* may be executed more than once */
 };
 
+/* Plain service: one without a model engine. */
 struct doc_plain {
 	char name[DOC_NAME_MAX];
 	struct doc_route routes[DOC_MAX_ROUTES];
@@ -87,23 +98,26 @@
 	size_t nr_plain;
 	struct doc_account accounts[DOC_MAX_ACCOUNTS];
 	size_t nr_accounts;
-	int64_t first_token_ms;
-	int64_t between_tokens_ms;
-	int64_t deadline_ms; /* from arrival to the last token */
-	double cost_weight;
-	double recompute_weight;
-	bool survive_zone_loss;
-	bool allow_reclaimable;
+	int64_t first_token_ms;	   /* target: time to first token */
+	int64_t between_tokens_ms; /* target: inter-token latency */
+	int64_t deadline_ms;	   /* from arrival to the last token */
+	double cost_weight;	   /* of the price; only validated so far */
+	double recompute_weight;   /* of the expected recomputation cost */
+	bool survive_zone_loss;	   /* capacity suffices without any one zone */
+	bool allow_reclaimable;	   /* spot instances may be used */
 };
 
 /*
- * Parses and checks a document. `what` names it in errors. Returns a new
- * document (free with doc_free) or NULL with ERR_INVALID, line and column.
+ * Parses and validates a document. `what` names the text in error messages.
+ * Returns a new document (free with doc_free), or NULL with ERR_INVALID and a
+ * message that begins with line and column of the first fault.
  */
 struct doc *doc_parse(const char *what, const char *text, struct err *e);
+
+/* NULL is allowed. */
 void doc_free(struct doc *d);
 
-/* Look-ups; NULL if there is none. */
+/* Return the element with this name, or NULL. Valid as long as `d`. */
 const struct doc_model *doc_find_model(const struct doc *d, const char *name);
 const struct doc_class *doc_find_class(const struct doc *d, const char *name);
 const struct doc_plain *doc_find_plain(const struct doc *d, const char *name);
@@ -111,17 +125,21 @@
 					   const char *name);
 
 /*
- * The account that a bearer key belongs to. Every account is compared in
- * constant time, so the time taken tells nothing about the keys.
+ * Returns the account to which an API key, sent as bearer token, belongs, or
+ * NULL. All accounts are compared, each in constant time, so that the run time
+ * reveals nothing about the keys.
  */
 const struct doc_account *doc_authenticate(const struct doc *d,
 					   const char *bearer);
 
-/* True if the document says that this call may be repeated. */
+/*
+ * Returns true if the document marks this call as repeatable. Calls that it
+ * does not list are not repeatable.
+ */
 bool doc_repeatable(const struct doc_plain *p, const char *method,
 		    const char *path);
 
-/* True if `adapter` is one of the model's, or empty. */
+/* Returns true if `adapter` is one of the model's adapters or is empty. */
 bool doc_has_adapter(const struct doc_model *m, const char *adapter);
 
 #endif
--- a/lib/config/force.c
+++ b/lib/config/force.c
@@ -14,7 +14,7 @@
 	f->cfg = NULL;
 }
 
-static void freshen(struct force *f, int64_t at_ms)
+static void update_confirmed(struct force *f, int64_t at_ms)
 {
 	if (at_ms > f->confirmed_ms && at_ms >= f->ignore_before_ms)
 		f->confirmed_ms = at_ms;
@@ -33,13 +33,13 @@
 	if (!f->cfg || c->version > f->cfg->version) {
 		cfg_put(f->cfg);
 		f->cfg = c;
-		/* The store may give an older one than others have. */
+		/* The store may return an older version than peers have. */
 		if (!force_behind(f))
-			freshen(f, asked_ms);
+			update_confirmed(f, asked_ms);
 		return true;
 	}
 	if (c->version == f->cfg->version)
-		freshen(f, asked_ms);
+		update_confirmed(f, asked_ms);
 	cfg_put(c);
 	return false;
 }
@@ -49,7 +49,7 @@
 	if (version > f->newest_known_version)
 		f->newest_known_version = version;
 	if (f->cfg && version == f->cfg->version)
-		freshen(f, at_ms);
+		update_confirmed(f, at_ms);
 }
 
 bool force_behind(const struct force *f)
--- a/lib/config/set.c
+++ b/lib/config/set.c
@@ -99,8 +99,8 @@
 	return 0;
 }
 
-static int check_rest(const char *what, const char *text, const struct set *s,
-		      struct err *e)
+static int check_values(const char *what, const char *text, const struct set *s,
+			struct err *e)
 {
 	if (strlen(s->peer_secret) < 16)
 		return jsn_fault(what, text, "peer_secret", e,
@@ -140,7 +140,7 @@
 	s->lease_s = 10;
 	s->copy_ms = 50;
 	if (jsn_read(what, text, set_fields, s, e) ||
-	    check_addresses(what, text, s, e) || check_rest(what, text, s, e))
+	    check_addresses(what, text, s, e) || check_values(what, text, s, e))
 		return -1;
 	return 0;
 }
--- a/lib/config/spread.c
+++ b/lib/config/spread.c
@@ -7,7 +7,8 @@
 #include "base/buf.h"
 #include "base/hsh.h"
 
-#define NR_BUCKETS 1024 /* power of two; about an item each at the target */
+/* Power of two; about one item per bucket at the target size of a fleet. */
+#define NR_BUCKETS 1024
 
 struct entry {
 	struct cds_list_head node;
@@ -36,9 +37,9 @@
 	return hsh_rendezvous(hsh_str(it->name, it->rev), it->body_hash);
 }
 
-static void drop(struct spread *s, struct entry *x)
+static void remove_entry(struct spread *s, struct entry *x)
 {
-	/* The digest is a sum, so that order does not matter. */
+	/* The digest is a sum over the items, independent of their order. */
 	s->digest -= item_digest(&x->it);
 	s->count--;
 	cds_list_del(&x->node);
@@ -55,7 +56,7 @@
 		return;
 	for (i = 0; i < NR_BUCKETS; i++) {
 		cds_list_for_each_entry_safe(x, tmp, &s->buckets[i], node)
-			drop(s, x);
+			remove_entry(s, x);
 	}
 	free(s);
 }
@@ -171,7 +172,7 @@
 		cds_list_for_each_entry_safe(x, tmp, &s->buckets[i], node) {
 			if (!x->it.expires_ms || x->it.expires_ms > now_ms)
 				continue;
-			drop(s, x);
+			remove_entry(s, x);
 			n++;
 		}
 	}
--- a/lib/config/vfy.c
+++ b/lib/config/vfy.c
@@ -1,7 +1,7 @@
 #include "config/vfy.h"
 
-/* The age at which an entry asks by itself. */
-static int64_t age_to_ask(const struct vfy_input *s)
+/* Age of the last confirmation at which the entry calls the store itself. */
+static int64_t max_age_ms(const struct vfy_input *s)
 {
 	if (s->watcher_rank == 0)
 		return 0;
@@ -11,23 +11,23 @@
 	       (int64_t)(s->jitter_seed % VFY_NON_WATCHER_JITTER_MS);
 }
 
-static enum vfy_call how(const struct vfy *v, int64_t now)
+static enum vfy_call store_call(const struct vfy *v, int64_t now)
 {
 	if (!v->revision || now - v->revision_ms > VFY_MAX_REVISION_AGE_MS)
 		return VFY_READ;
 	return VFY_CHANGES;
 }
 
-/* After a call that brought nothing, the next one comes so much later. */
-static int64_t pause(const struct vfy *v, const struct vfy_input *s)
+/* Minimum time between the starts of two calls. */
+static int64_t min_interval_ms(const struct vfy *v, const struct vfy_input *s)
 {
 	if (!v->store_empty || s->behind)
 		return VFY_RETRY_MS;
 	return s->watcher_rank == 0 ? VFY_ABSENT_MS : VFY_ABSENT_OTHERS_MS;
 }
 
-/* True if another entry is to be asked first; once for each version. */
-static bool peer_first(const struct vfy *v, const struct vfy_input *s)
+/* Whether to try the followed entry before the store; once per version. */
+static bool use_peer(const struct vfy *v, const struct vfy_input *s)
 {
 	return s->behind && !s->request_waiting && s->has_followed_entry &&
 	       s->watcher_rank < 0 && s->announced_version &&
@@ -42,8 +42,8 @@
 		       (int64_t)(s->jitter_seed % VFY_PEER_JITTER_MS);
 }
 
-static enum vfy_call ask_peer(struct vfy *v, const struct vfy_input *s,
-			      int64_t now)
+static enum vfy_call call_peer(struct vfy *v, const struct vfy_input *s,
+			       int64_t now)
 {
 	v->last_peer_version = s->announced_version;
 	v->call_pending = true;
@@ -55,7 +55,7 @@
 enum vfy_call vfy_next(struct vfy *v, const struct vfy_input *s, int64_t now,
 		       int *wait_ms)
 {
-	const bool soon = s->behind || s->request_waiting;
+	const bool urgent = s->behind || s->request_waiting;
 
 	*wait_ms = 0;
 	if (!s->behind)
@@ -65,19 +65,19 @@
 	if (v->call_pending)
 		return VFY_NONE;
 	if (v->call_started_ms && !s->request_waiting &&
-	    now - v->call_started_ms < pause(v, s))
+	    now - v->call_started_ms < min_interval_ms(v, s))
 		return VFY_NONE;
-	if (peer_first(v, s))
-		return peer_due(v, s, now) ? ask_peer(v, s, now) : VFY_NONE;
-	if (!soon && s->age_ms < age_to_ask(s))
+	if (use_peer(v, s))
+		return peer_due(v, s, now) ? call_peer(v, s, now) : VFY_NONE;
+	if (!urgent && s->age_ms < max_age_ms(s))
 		return VFY_NONE;
-	/* While a confirmation is overdue, the answer must not wait. */
-	if (!soon && s->watcher_rank == 0 && s->age_ms < VFY_MAX_AGE_MS)
+	/* No long poll while a confirmation is overdue. */
+	if (!urgent && s->watcher_rank == 0 && s->age_ms < VFY_MAX_AGE_MS)
 		*wait_ms = VFY_LONG_POLL_MS;
 	v->call_pending = true;
 	v->call_started_ms = now;
 	v->long_poll_ms = *wait_ms;
-	return how(v, now);
+	return store_call(v, now);
 }
 
 void vfy_received_version(struct vfy *v, int64_t revision, bool in_force,
--- a/lib/config/vfy.h
+++ b/lib/config/vfy.h
@@ -1,23 +1,27 @@
 /*
- * vfy: when the store is asked whether the configuration in force is still
- * the newest one, and how.
+ * vfy (verify): schedules the calls that check whether the configuration in
+ * force is still the newest version, and fetch a newer one.
  *
- * The store is asked for changes since the revision up to which the version
- * is known: an answer without any confirms it in a hundred bytes, where the
- * version itself may have a megabyte. It is read whole only by an entry that
- * has none, or whose revision the store may have dropped from its history.
+ * The store is asked for changes since the last known revision. An answer
+ * without changes confirms the version in a hundred bytes, whereas the version
+ * itself may have a megabyte. The whole configuration is read only by an entry
+ * that has none, or whose revision the store may have dropped from its
+ * history.
  *
- * Of the entries that watch the store the first one asks again and again and
- * lets the store wait for a change, so that it is the first to know of a new
- * version; it tells the others, which ask by themselves only if they do not
- * hear of it, or hear of a newer version than theirs. One call is under way
- * at a time: a large version on a slow link is read once, not side by side
- * with itself.
+ * Some of the entries watch the store; they are ranked. The first watcher
+ * long-polls the store continuously, so it is the first to receive a new
+ * version, and announces versions and confirmations to the other entries. The
+ * others call the store only if these announcements stop, or if a newer
+ * version than theirs is announced. An entry has at most one call pending, so
+ * that a large version on a slow link is not transferred several times in
+ * parallel.
  *
- * A version never changes, so whoever has it may hand it on: an entry that
- * does not watch the store asks the one that it follows for a version that it
- * heard of, and the store only if that one has not got it. That a version is
- * the newest is not learned that way.
+ * A version is immutable, so any entry that has it can pass it on. An entry
+ * that does not watch the store first requests an announced version from the
+ * watcher that it follows, and from the store only if that fails. This does
+ * not confirm that the version is the newest one.
+ *
+ * Times are milliseconds of the caller's monotonic clock.
  */
 #ifndef VFY_H
 #define VFY_H
@@ -26,125 +30,146 @@
 #include <stdint.h>
 
 /*
- * The first entry lets the store wait so long for a change: one call a second
- * in all, and no confirmation is older than this and a round trip when the
- * next one comes. Revoked keys leave five seconds for that and for telling the
- * others, unknown routes and keys two.
+ * Duration of the first watcher's long poll, in ms: one call per second in the
+ * whole fleet, and a confirmation is at most this plus a round trip old when
+ * the next one arrives. Revoked keys must take effect within 5 s, unknown
+ * routes and keys within 2 s, both including the announcement to the other
+ * entries.
  */
 #define VFY_LONG_POLL_MS 1000
 
 /*
- * An answer that waited and brought nothing says that nothing had changed this
- * long before its end: the store answers as soon as there is a change.
+ * Upper bound of the delay between a change and the store's answer to a long
+ * poll, in ms. A long poll that ended without a change therefore confirms the
+ * state this long before its end.
  */
 #define VFY_MAX_NOTIFY_DELAY_MS 100
 
 /*
- * An entry that watches the store asks by itself when its last confirmation is
- * so old; the second of them so much later, and so on: by then it has heard of
- * the first one's word, if that lives.
+ * Age of the last confirmation, in ms, from which it is overdue. The first
+ * watcher then calls the store without a long poll. The other watchers call it
+ * when the age exceeds this by VFY_RANK_STEP_MS per rank; by then, an
+ * announcement of the first watcher has arrived if it is alive.
  */
 #define VFY_MAX_AGE_MS 1200
 #define VFY_RANK_STEP_MS 300
 
 /*
- * The others ask so much later, spread over the second figure. Telling all
- * of a hundred entries takes 0.6 s; when all asked by the clock alone, half
- * of them had asked before they heard: 1,200 calls in 50 s on 84 entries.
+ * Additional age, in ms, before an entry that does not watch the store calls
+ * it, and the range of the random delay on top. Announcing to a hundred
+ * entries takes 0.6 s. When all entries called by their own clock alone, half
+ * of them called before the announcement arrived: 1,200 calls in 50 s on 84
+ * entries.
  */
 #define VFY_NON_WATCHER_DELAY_MS 1000
 #define VFY_NON_WATCHER_JITTER_MS 600
 
-/* After a call that brought nothing. */
+/*
+ * Minimum time between the starts of two calls, in ms, unless a client request
+ * waits for a confirmation.
+ */
 #define VFY_RETRY_MS 300
 
 /*
- * While the store has no configuration at all, the first entry asks this
- * often and the others hear of it from that one. It is so at the very first
- * start, when 295 entries asked four times each until there was one.
+ * The same while the store contains no configuration: for the first watcher,
+ * and for all others, which learn of the first version from its announcement.
+ * This is the state at the first start of a fleet, when 295 entries made four
+ * calls each until there was a configuration.
  */
 #define VFY_ABSENT_MS 2500
 #define VFY_ABSENT_OTHERS_MS 4000
 
 /*
- * Changes since a revision are asked for only if it was current so lately:
- * the store keeps some 20 s of history and may drop it sooner, and a question
- * that it cannot answer costs a call.
+ * Maximum age of a known revision, in ms, for asking the store for changes
+ * since then. The store keeps some 20 s of history and may drop it sooner; a
+ * call for a dropped revision is wasted.
  */
 #define VFY_MAX_REVISION_AGE_MS 8000
 
 /*
- * The entry that is followed is asked for a version so long after it was
- * heard of, spread over the second figure: by then it has read it itself, and
- * some thirty followers do not come to it in one moment.
+ * Delay, in ms, between the announcement of a version and the request for it
+ * to the followed entry, and the range of the random delay on top. By then
+ * that entry has read the version itself, and its some thirty followers do
+ * not send their requests at the same moment.
  */
 #define VFY_PEER_DELAY_MS 100
 #define VFY_PEER_JITTER_MS 200
 
 enum vfy_call {
 	VFY_NONE,
-	VFY_READ,    /* read the configuration */
-	VFY_CHANGES, /* ask for changes of it since `revision` */
-	VFY_PEER,    /* ask the entry that is followed for the version named */
+	VFY_READ,    /* read the whole configuration from the store */
+	VFY_CHANGES, /* ask the store for changes since vfy.revision */
+	VFY_PEER,    /* request the announced version from the followed entry */
 };
 
 struct vfy {
 	bool call_pending;
-	int64_t call_started_ms; /* when the last call was started */
-	int long_poll_ms;	 /* that it may wait for a change */
-	int64_t revision;	 /* changes up to it are known; 0: nothing is */
-	int64_t revision_ms;	 /* when it was current */
-	bool in_force;	  /* the version at that revision is in force here */
-	bool store_empty; /* the store had none */
-	int64_t behind_since_ms; /* since a newer version was named; 0: none */
-	int64_t last_peer_version; /* the version last asked of another entry */
+	int64_t call_started_ms; /* start of the last call; 0: retry at once */
+	int long_poll_ms;	 /* of the last call; 0: not a long poll */
+	int64_t revision;	 /* last known revision; 0: none */
+	int64_t revision_ms;	 /* time at which `revision` was received */
+	bool in_force;		 /* the version at `revision` is in force */
+	bool store_empty;	 /* the store had no configuration */
+	int64_t behind_since_ms; /* newer version announced; 0: none */
+	int64_t last_peer_version; /* last one requested with VFY_PEER */
 };
 
-/* What the entry knows when it decides. */
+/* State of the entry on which vfy_next decides. */
 struct vfy_input {
-	int watcher_rank; /* among those that watch the store; -1: not one */
-	int64_t age_ms;	  /* of the last confirmation */
-	bool behind;	  /* a newer version than that in force was named */
-	bool request_waiting;	   /* a request waits for a confirmation */
-	int64_t announced_version; /* the newest version that was named; 0: none */
-	bool has_followed_entry; /* there is an entry to ask for it */
-	uint64_t
-		jitter_seed; /* ours, to ask at another moment than the others */
+	int watcher_rank;	   /* 0: first watcher; -1: not a watcher */
+	int64_t age_ms;		   /* age of the last confirmation */
+	bool behind;		   /* a newer version was announced */
+	bool request_waiting;	   /* a client request waits for confirmation */
+	int64_t announced_version; /* newest one announced; 0: none */
+	bool has_followed_entry;   /* VFY_PEER is possible */
+	uint64_t jitter_seed;	   /* differs between entries */
 };
 
-/* The call to make now, which is then under way; *wait_ms: of VFY_CHANGES. */
+/*
+ * Returns the call to start now, which then counts as pending until one of the
+ * functions below reports its result, or VFY_NONE. `*wait_ms` is set to the
+ * duration of the long poll for VFY_CHANGES, 0 for an immediate answer.
+ */
 enum vfy_call vfy_next(struct vfy *v, const struct vfy_input *s, int64_t now_ms,
 		       int *wait_ms);
 
 /*
- * The call brought a version, current at `revision`; `in_force`: it could be
- * read, and is in force or was already.
+ * Reports that the call returned a version, current at `revision`. `in_force`
+ * tells that the version could be parsed and is in force now.
  */
 void vfy_received_version(struct vfy *v, int64_t revision, bool in_force,
 			  int64_t now_ms);
 
 /*
- * The call brought no change. Returns the moment at which the version in force
- * was the newest; 0: it is not, since the newest one cannot be read here.
+ * Reports that the call returned no change up to `revision`. Returns the time
+ * at which the version in force was the newest, or 0 if it is not the newest:
+ * the newest version could not be parsed here.
  */
 int64_t vfy_unchanged(struct vfy *v, int64_t revision, int64_t now_ms);
 
 /*
- * Of what moment the answer of the call under way speaks, if it brought a
- * version: when it was asked, and for a watch a little before, since one that
- * may wait can bring one change and not yet see the next.
+ * Returns the time at which a version that the pending call returns was the
+ * newest: the start of the call, or VFY_MAX_NOTIFY_DELAY_MS earlier for a long
+ * poll, which may return one change while it has not seen the next one yet.
  */
 int64_t vfy_as_of_ms(const struct vfy *v);
 
-/* The store does not know any more what changed: all is read, at once. */
+/*
+ * Reports that the store has dropped the history since the known revision.
+ * vfy_next then returns VFY_READ without a delay.
+ */
 void vfy_history_lost(struct vfy *v);
 
+/* Reports that the call failed; it is retried after VFY_RETRY_MS. */
 void vfy_failed(struct vfy *v);
 
-/* The other entry has not got the version: the store is asked at once. */
+/*
+ * Reports that the followed entry did not return the version. vfy_next then
+ * calls the store without a delay.
+ */
 void vfy_peer_failed(struct vfy *v);
 
-/* The store answered that it has no configuration. */
+/* Reports that the store contains no configuration. */
 void vfy_absent(struct vfy *v);
 
 #endif
