--- a/tests/test_cfg.c
+++ b/tests/test_cfg.c
@@ -1,4 +1,7 @@
-/* Configuration: look-ups against a naive scan; versions and freshness. */
+/*
+ * Tests of cfg (look-ups compared with a linear scan) and force (version in
+ * force, time of its confirmation).
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +12,7 @@
 #include "config/force.h"
 #include "support/unit.h"
 
-static struct cfg *make(int64_t version, size_t routes, struct rnd *rnd)
+static struct cfg *make_config(int64_t version, size_t routes, struct rnd *rnd)
 {
 	static const char *const hosts[] = { "a.example", "b.example" };
 	struct cfg *c = cfg_create();
@@ -43,8 +46,8 @@
 	return c;
 }
 
-static size_t naive_best(const struct cfg *c, const char *host,
-			 const char *path)
+static size_t scan_longest_prefix(const struct cfg *c, const char *host,
+				  const char *path)
 {
 	size_t best = 0, i, n;
 
@@ -57,14 +60,14 @@
 	return best;
 }
 
-static void longest_prefix_like_the_naive_scan(void)
+static void longest_prefix_matches_linear_scan(void)
 {
 	struct rnd rnd;
 	int round, k;
 
 	rnd_seed(&rnd, 3);
 	for (round = 0; round < 60; round++) {
-		struct cfg *c = make(1, 1 + rnd_below(&rnd, 60), &rnd);
+		struct cfg *c = make_config(1, 1 + rnd_below(&rnd, 60), &rnd);
 
 		for (k = 0; k < 60; k++) {
 			BUF_AUTO path = BUF_INIT;
@@ -79,16 +82,17 @@
 				buf_str(&path, "?x=/a/b/");
 			r = cfg_route(c, "a.example", path.data);
 			CU_ASSERT_EQUAL(r ? strlen(r->prefix) : 0,
-					naive_best(c, "a.example", path.data));
+					scan_longest_prefix(c, "a.example",
+							    path.data));
 		}
 		CU_ASSERT_PTR_NULL(cfg_route(c, "c.example", "/a/"));
 		cfg_put(c);
 	}
 }
 
-static void keys_name_their_account(void)
+static void account_is_found_by_key(void)
 {
-	struct cfg *c = make(1, 1, NULL);
+	struct cfg *c = make_config(1, 1, NULL);
 
 	CU_ASSERT_STRING_EQUAL(cfg_account(c, "aa")->name, "one");
 	CU_ASSERT_STRING_EQUAL(cfg_account(c, "mm")->name, "two");
@@ -98,10 +102,6 @@
 	cfg_put(c);
 }
 
-/*
- * Symptom: a route that was just removed served again. Sequence: version 7
- * came by the watch, then the late answer of a reading with version 5.
- */
 static struct cfg_share *share_of(const char *service)
 {
 	struct cfg_share *s = calloc(1, sizeof(*s));
@@ -111,11 +111,11 @@
 	return s;
 }
 
-static void service_keeps_the_pace_of_its_most_demanding_route(void)
+static void service_gets_shortest_gap_of_its_routes(void)
 {
 	static const char *const services[] = { "llm", "llm", "llm", "app" };
 	static const int gaps[] = { 600, 400, 0, 0 };
-	struct cfg *c = make(1, 4, NULL);
+	struct cfg *c = make_config(1, 4, NULL);
 	size_t i;
 
 	c->services = calloc(2, sizeof(*c->services));
@@ -133,35 +133,39 @@
 	cfg_put(c);
 }
 
-static void version_never_goes_back(void)
+/*
+ * A removed route must not be served again when version 7 arrives by the watch
+ * and a delayed read then returns version 5.
+ */
+static void version_never_decreases(void)
 {
 	struct force f;
 
 	force_init(&f);
-	CU_ASSERT(force_offer(&f, make(5, 1, NULL), 100));
-	CU_ASSERT(force_offer(&f, make(7, 1, NULL), 0));
-	CU_ASSERT_FALSE(force_offer(&f, make(5, 1, NULL), 300));
+	CU_ASSERT(force_offer(&f, make_config(5, 1, NULL), 100));
+	CU_ASSERT(force_offer(&f, make_config(7, 1, NULL), 0));
+	CU_ASSERT_FALSE(force_offer(&f, make_config(5, 1, NULL), 300));
 	CU_ASSERT_EQUAL(f.cfg->version, 7);
-	/* An old version confirms nothing of the new one. */
+	/* An older version does not confirm the newer one. */
 	CU_ASSERT_EQUAL(f.confirmed_ms, 100);
-	CU_ASSERT_FALSE(force_offer(&f, make(7, 1, NULL), 400));
+	CU_ASSERT_FALSE(force_offer(&f, make_config(7, 1, NULL), 400));
 	CU_ASSERT_EQUAL(f.confirmed_ms, 400);
 	force_free(&f);
 }
 
 /*
- * Symptom: a key that was taken away still worked on an entry that was cut
- * off. Sequence: the entry had read version 5 four seconds ago; a peer says
- * that 5 was the newest a moment ago, another one that 6 is. Cause: taking
- * any word of a peer for freshness, whatever version it speaks of.
+ * A revoked key must not stay valid on an entry without contact to the store:
+ * only a confirmation of the version in force counts. The entry has version 5;
+ * one peer confirms 5, another one confirms 6. The failure was that a peer's
+ * confirmation counted whatever its version.
  */
-static void freshness_is_of_the_version_in_force(void)
+static void only_version_in_force_is_confirmed(void)
 {
 	struct force f;
 
 	force_init(&f);
 	CU_ASSERT_FALSE(force_can_check_key(&f, 100, 5000));
-	force_offer(&f, make(5, 1, NULL), 1000);
+	force_offer(&f, make_config(5, 1, NULL), 1000);
 	force_confirm(&f, 5, 3000);
 	CU_ASSERT_EQUAL(force_age(&f, 3500), 500);
 	force_confirm(&f, 6, 9000);
@@ -174,82 +178,84 @@
 	force_free(&f);
 }
 
-/* A request keeps the version under which it was admitted. */
-static void versions_live_as_long_as_their_requests(void)
+/* A request keeps the version under which it was admitted alive. */
+static void requests_keep_their_version(void)
 {
 	struct force f;
 	struct cfg *mine;
 
 	force_init(&f);
-	force_offer(&f, make(1, 2, NULL), 1);
+	force_offer(&f, make_config(1, 2, NULL), 1);
 	mine = cfg_ref(f.cfg);
-	force_offer(&f, make(2, 0, NULL), 2);
+	force_offer(&f, make_config(2, 0, NULL), 2);
 	CU_ASSERT_EQUAL(mine->version, 1);
 	CU_ASSERT_EQUAL(mine->nr_routes, 2);
 	cfg_put(mine);
 	force_free(&f);
 }
 
-/* ---- Keys taken away, on schedules ---- */
+/* ---- Revoked keys, in random schedules ---- */
 
-#define NODES 4
-#define REVOKE 5000
+#define NR_ENTRIES 4
+#define REVOKE_MS 5000
 
-/* Each version has exactly one key: its own number. */
+/* A simulated entry. Each version has exactly one API key: its own number. */
 struct entry {
 	struct force f;
-	int64_t stamp[NODES];	 /* our stamp that the peer echoes */
-	int64_t stamp_at[NODES]; /* when the peer got it */
-	int64_t frozen_till;
-	bool cut; /* from the store */
+	int64_t stamp[NR_ENTRIES];    /* our timestamp that the peer echoes */
+	int64_t stamp_at[NR_ENTRIES]; /* time at which the peer received it */
+	int64_t suspended_until;
+	bool cut; /* no connection to the store */
 };
 
 struct sched {
-	struct entry e[NODES];
-	int64_t acked[64]; /* when each version was accepted */
-	int version;
+	struct entry e[NR_ENTRIES];
+	int64_t acked[64]; /* time at which each version was accepted */
+	int version;	   /* newest version in the store */
 	struct rnd rnd;
-	unsigned broken;
+	unsigned violations;
 };
 
-static void one_step(struct sched *s, int64_t now, bool twin)
+static void step(struct sched *s, int64_t now, bool ignore_age)
 {
-	const int a = (int)rnd_below(&s->rnd, NODES);
-	const int b = (int)rnd_below(&s->rnd, NODES);
+	const int a = (int)rnd_below(&s->rnd, NR_ENTRIES);
+	const int b = (int)rnd_below(&s->rnd, NR_ENTRIES);
 	struct entry *x = &s->e[a];
 	int64_t delay;
 
-	if (now < x->frozen_till)
+	if (now < x->suspended_until)
 		return;
-	/* A reading that is answered late, as of a moment on the way. */
+	/* A delayed read, which shows the state of an earlier time. */
 	if (!x->cut && !rnd_below(&s->rnd, 20)) {
 		delay = rnd_below(&s->rnd, 300);
-		force_offer(&x->f, make(s->version, 0, NULL), now - delay);
+		force_offer(&x->f, make_config(s->version, 0, NULL),
+			    now - delay);
 	}
-	if (a == b || now < s->e[b].frozen_till || !s->e[b].f.cfg)
+	if (a == b || now < s->e[b].suspended_until || !s->e[b].f.cfg)
 		return;
-	/* We tell b our stamp; its word with our stamp comes back. */
+	/* Send b our timestamp, or receive its confirmation with the echo. */
 	if (rnd_below(&s->rnd, 2)) {
 		x->stamp[b] = now;
 		x->stamp_at[b] = now;
 	} else if (x->stamp[b]) {
 		const int64_t age = force_age(&s->e[b].f, now);
 		const int64_t at =
-			twin ? now : x->stamp[b] + (now - x->stamp_at[b]) - age;
+			ignore_age ? now
+				   : x->stamp[b] + (now - x->stamp_at[b]) - age;
 
 		if (age != INT64_MAX)
 			force_confirm(&x->f, s->e[b].f.cfg->version, at);
 	}
-	/* A request with the key of the version in force arrives. */
-	if (x->f.cfg && force_can_check_key(&x->f, now, REVOKE)) {
+	/* A request arrives with the key of the version in force. */
+	if (x->f.cfg && force_can_check_key(&x->f, now, REVOKE_MS)) {
 		const int64_t next = x->f.cfg->version + 1;
 
-		s->broken += next <= s->version &&
-			     now - s->acked[next] > REVOKE;
+		s->violations += next <= s->version &&
+				 now - s->acked[next] > REVOKE_MS;
 	}
 }
 
-static unsigned revocations(uint64_t seed, bool twin)
+static unsigned run_schedule(uint64_t seed, bool ignore_age)
 {
 	struct sched s;
 	int64_t now;
@@ -261,55 +267,58 @@
 	for (now = 1000; now < 60000; now += 10) {
 		if (!rnd_below(&s.rnd, 400) && s.version < 63)
 			s.acked[++s.version] = now;
-		i = (int)rnd_below(&s.rnd, NODES);
+		i = (int)rnd_below(&s.rnd, NR_ENTRIES);
 		if (!rnd_below(&s.rnd, 300))
 			s.e[i].cut = !s.e[i].cut;
 		if (!rnd_below(&s.rnd, 500))
-			s.e[i].frozen_till =
+			s.e[i].suspended_until =
 				now + 500 + rnd_below(&s.rnd, 7000);
 		for (i = 0; i < 3; i++)
-			one_step(&s, now, twin);
+			step(&s, now, ignore_age);
 	}
-	for (i = 0; i < NODES; i++)
+	for (i = 0; i < NR_ENTRIES; i++)
 		force_free(&s.e[i].f);
-	return s.broken;
+	return s.violations;
 }
 
-static void revoked_keys_stop_on_every_schedule(void)
+static void revoked_keys_are_refused(void)
 {
-	unsigned broken = 0;
+	unsigned violations = 0;
 	uint64_t seed;
 
 	for (seed = 1; seed <= unit_seeds(200); seed++)
-		broken += revocations(seed, false) +
-			  revocations(unit_seed(seed), false);
-	unit_report("keys taken away", 2 * unit_seeds(200), broken);
-	CU_ASSERT_EQUAL(broken, 0);
+		violations += run_schedule(seed, false) +
+			      run_schedule(unit_seed(seed), false);
+	unit_report("revoked keys", 2 * unit_seeds(200), violations);
+	CU_ASSERT_EQUAL(violations, 0);
 }
 
-/* The twin takes a peer's word as fresh whatever its age. */
-static void twin_without_ages_is_caught(void)
+/*
+ * The schedules find the violation if the age of a peer's confirmation is
+ * ignored, so they can fail.
+ */
+static void ignored_ages_are_detected(void)
 {
-	unsigned broken = 0;
+	unsigned violations = 0;
 	uint64_t seed;
 
 	for (seed = 1; seed <= 50; seed++)
-		broken += revocations(seed, true) > 0;
-	CU_ASSERT(broken > 0);
+		violations += run_schedule(seed, true) > 0;
+	CU_ASSERT(violations > 0);
 }
 
 /*
- * Symptom: a key that was taken away worked again. Sequence: the store came
- * back from a copy without the version that took it away, and said of the one
- * before that nothing had changed. Cause: that word taken for freshness, while
- * operators had not yet written again.
+ * A revoked key must not become valid again when the store is restored from a
+ * copy without the version that revoked it. The store then reports no change
+ * since the version before, which must not count as a confirmation until
+ * operators have had time to write the newest version again.
  */
-static void nothing_is_confirmed_while_the_store_may_lack_it(void)
+static void restored_store_confirms_nothing(void)
 {
 	struct force f;
 
 	force_init(&f);
-	force_offer(&f, make(5, 1, NULL), 1000);
+	force_offer(&f, make_config(5, 1, NULL), 1000);
 	force_reject_confirmations(&f, 4000);
 	force_confirm(&f, 5, 3000);
 	CU_ASSERT_EQUAL(f.confirmed_ms, 1000);
@@ -318,30 +327,29 @@
 	CU_ASSERT_EQUAL(f.confirmed_ms, 4100);
 	force_free(&f);
 
-	/* An entry that starts is given an older one than others named. */
+	/* A starting entry reads an older version than was announced. */
 	force_init(&f);
 	force_confirm(&f, 7, 500);
-	CU_ASSERT(force_offer(&f, make(5, 1, NULL), 1000));
+	CU_ASSERT(force_offer(&f, make_config(5, 1, NULL), 1000));
 	CU_ASSERT_FALSE(force_can_check_key(&f, 1000, 5000));
 	force_free(&f);
 }
 
 static const struct unit_test tests[] = {
-	{ "nothing is confirmed while the store may lack it",
-	  nothing_is_confirmed_while_the_store_may_lack_it },
-	{ "revoked keys stop on every schedule",
-	  revoked_keys_stop_on_every_schedule },
-	{ "the twin without ages is caught", twin_without_ages_is_caught },
-	{ "longest prefix like the naive scan",
-	  longest_prefix_like_the_naive_scan },
-	{ "keys name their account", keys_name_their_account },
-	{ "a service keeps the pace of its most demanding route",
-	  service_keeps_the_pace_of_its_most_demanding_route },
-	{ "the version never goes back", version_never_goes_back },
-	{ "freshness is of the version in force",
-	  freshness_is_of_the_version_in_force },
-	{ "versions live as long as their requests",
-	  versions_live_as_long_as_their_requests },
+	{ "a restored store confirms nothing",
+	  restored_store_confirms_nothing },
+	{ "revoked keys are refused in every schedule",
+	  revoked_keys_are_refused },
+	{ "ignored ages are detected", ignored_ages_are_detected },
+	{ "longest prefix matches a linear scan",
+	  longest_prefix_matches_linear_scan },
+	{ "an account is found by its key", account_is_found_by_key },
+	{ "a service gets the shortest gap of its routes",
+	  service_gets_shortest_gap_of_its_routes },
+	{ "the version never decreases", version_never_decreases },
+	{ "only the version in force is confirmed",
+	  only_version_in_force_is_confirmed },
+	{ "requests keep their version", requests_keep_their_version },
 };
 
 UNIT_MAIN("cfg", tests)
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -1,4 +1,7 @@
-/* Spreading against a naive twin; accepting changes over a faulty service. */
+/*
+ * Tests of spread (compared with an array) and apply (changes through a
+ * key-value service that fails or loses answers).
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,16 +15,16 @@
 
 /* ---- Spread ---- */
 
-struct naive_item {
+struct model_item {
 	char name[16];
 	uint64_t rev;
 	char body[16];
 };
 
-static void spread_like_naive(void)
+static void spread_matches_array(void)
 {
 	struct spread *s = spread_create(), *t = spread_create();
-	struct naive_item items[40] = { 0 };
+	struct model_item items[40] = { 0 };
 	struct rnd rnd;
 	unsigned step;
 
@@ -47,7 +50,7 @@
 		}
 		CU_ASSERT_EQUAL(spread_rev(s, name), items[i].rev);
 	}
-	/* The digest knows content, not the order of arrival. */
+	/* The digest depends on the content, not on the order of arrival. */
 	for (step = 40; step-- > 0;) {
 		char name[16];
 
@@ -101,11 +104,10 @@
 }
 
 /*
- * Symptom: two operators edit one document and one edit is gone.
- * Events: both read revision 1, both apply.
- * Cause: the second would overwrite what it never saw.
+ * Two operators read revision 1 and both apply a change. The second write must
+ * not overwrite the first one, which its author has not seen.
  */
-static void operators_race(void)
+static void concurrent_edits_conflict(void)
 {
 	struct fake_kv *f = fake_kv_create(1, false);
 	MEM_AUTO char *text = document();
@@ -133,11 +135,10 @@
 }
 
 /*
- * Symptom: an operator is told "failed" for a change that is in force.
- * Events: the write takes effect, its answer is lost.
- * Cause: no answer is no outcome; the change's id, read back, decides.
+ * A write takes effect, but its answer is lost. The change must not be reported
+ * as failed; its id in the stored value shows that it was accepted.
  */
-static void answer_lost(void)
+static void lost_answer(void)
 {
 	struct fake_kv *f = fake_kv_create(1, false);
 	MEM_AUTO char *text = document();
@@ -149,7 +150,7 @@
 	apply_write(&f->kv, &c, &r, &e);
 	CU_ASSERT_EQUAL(r.outcome, APPLY_ACCEPTED);
 	CU_ASSERT_EQUAL(r.revision, 1);
-	/* Asked again later it is still known. */
+	/* A later check returns the same outcome. */
 	fake_kv_mode(f, FAKE_UP);
 	apply_check(&f->kv, &c, &r, &e);
 	CU_ASSERT_EQUAL(r.outcome, APPLY_ACCEPTED);
@@ -160,7 +161,7 @@
 	fake_kv_free(f);
 }
 
-static void service_down(void)
+static void service_unreachable(void)
 {
 	struct fake_kv *f = fake_kv_create(1, false);
 	MEM_AUTO char *text = document();
@@ -174,14 +175,14 @@
 	CU_ASSERT_EQUAL(fake_kv_writes(f), 0);
 	c.text = "{}";
 	apply_write(&f->kv, &c, &r, &e);
-	/* Refused before the service is asked at all. */
+	/* Validation fails before any call to the service. */
 	CU_ASSERT_EQUAL(r.outcome, APPLY_INVALID);
 	CU_ASSERT_EQUAL(fake_kv_reads(f), 1);
 	apply_result_free(&r);
 	fake_kv_free(f);
 }
 
-static void same_text(void)
+static void unchanged_text(void)
 {
 	struct fake_kv *f = fake_kv_create(1, false);
 	MEM_AUTO char *text = document();
@@ -200,7 +201,7 @@
 	fake_kv_free(f);
 }
 
-static void differences(void)
+static void diff_of_lines(void)
 {
 	BUF_AUTO b = BUF_INIT;
 
@@ -212,13 +213,13 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "spread like the naive twin", spread_like_naive },
-	{ "items end in time", spread_expiry },
-	{ "operators race", operators_race },
-	{ "a lost answer", answer_lost },
-	{ "the service is down", service_down },
-	{ "the same text", same_text },
-	{ "differences", differences },
+	{ "spread matches an array", spread_matches_array },
+	{ "items expire", spread_expiry },
+	{ "concurrent edits conflict", concurrent_edits_conflict },
+	{ "a lost answer is resolved", lost_answer },
+	{ "the service is unreachable", service_unreachable },
+	{ "unchanged and misdirected text", unchanged_text },
+	{ "line-by-line difference", diff_of_lines },
 };
 
 UNIT_MAIN("config", tests)
