--- a/lib/claim/claim.c
+++ b/lib/claim/claim.c
@@ -11,39 +11,39 @@
 	c->nr_judges = nr_judges;
 }
 
-void claim_answer(struct claim *c, unsigned place,
+void claim_answer(struct claim *c, unsigned judge_index,
 		  const struct judge_reply *reply)
 {
-	assert(place < c->nr_judges);
+	assert(judge_index < c->nr_judges);
 	if (reply->verdict == JUDGE_REFUSED) {
 		if (reply->reason == JUDGE_EXPIRED)
 			c->expired = true;
-		claim_no_answer(c, place);
+		claim_no_answer(c, judge_index);
 		return;
 	}
-	c->state[place] = CLAIM_VOTED;
-	c->voted_for[place] = reply->voted_for;
+	c->state[judge_index] = CLAIM_VOTED;
+	c->voted_for[judge_index] = reply->voted_for;
 }
 
-void claim_no_answer(struct claim *c, unsigned place)
+void claim_no_answer(struct claim *c, unsigned judge_index)
 {
-	/* A vote once heard stays: judges never take one back. */
-	if (c->state[place] != CLAIM_VOTED)
-		c->state[place] = CLAIM_NO_VOTE;
+	/* Judges never withdraw a vote, so a received one stays valid. */
+	if (c->state[judge_index] != CLAIM_VOTED)
+		c->state[judge_index] = CLAIM_NO_VOTE;
 }
 
-/* Two of three; with one or two judges in a small view, all of them. */
+/* Two of three judges; small views have one or two: all of them. */
 static unsigned majority(const struct claim *c)
 {
 	return c->nr_judges / 2 + 1;
 }
 
-static unsigned votes_for(const struct claim *c, uint64_t who)
+static unsigned votes_for(const struct claim *c, uint64_t id)
 {
 	unsigned n = 0, i;
 
 	for (i = 0; i < c->nr_judges; i++)
-		n += c->state[i] == CLAIM_VOTED && c->voted_for[i] == who;
+		n += c->state[i] == CLAIM_VOTED && c->voted_for[i] == id;
 	return n;
 }
 
@@ -62,17 +62,17 @@
 enum claim_outcome claim_outcome(const struct claim *c)
 {
 	const uint64_t winner = claim_winner(c);
-	unsigned known = 0, silent = 0, i;
+	unsigned voted = 0, awaited = 0, i;
 
 	if (winner)
 		return winner == c->self ? CLAIM_WON : CLAIM_JOIN;
 	for (i = 0; i < c->nr_judges; i++) {
-		known += c->state[i] == CLAIM_VOTED;
-		silent += c->state[i] == CLAIM_AWAITED;
+		voted += c->state[i] == CLAIM_VOTED;
+		awaited += c->state[i] == CLAIM_AWAITED;
 	}
-	if (known == c->nr_judges && known > 0)
+	if (voted == c->nr_judges && voted > 0)
 		return CLAIM_BURNED;
-	if (silent)
+	if (awaited)
 		return CLAIM_PENDING;
 	return c->expired ? CLAIM_EXPIRED : CLAIM_UNKNOWN;
 }
--- a/lib/claim/grant.c
+++ b/lib/claim/grant.c
@@ -7,7 +7,7 @@
 #include "base/buf.h"
 #include "base/hsh.h"
 
-/* The account is part of what is signed, not of the text. */
+/* The account is covered by the MAC, but not part of the text. */
 static void grant_mac(const char *body, const char *account, const char *secret,
 		      char out[17])
 {
@@ -51,7 +51,7 @@
 		struct grant *out, struct err *e)
 {
 	char text[GRANT_MAX], mac[17];
-	unsigned long long view, birth;
+	unsigned long long view, issued;
 	char *last;
 	int end = 0;
 
@@ -70,11 +70,11 @@
 		return err_set(e, ERR_DENIED,
 			       "the grant is not one that this service gave "
 			       "to this account");
-	if (sscanf(text, "g%llx-%llx-%8[0-9a-f]%n", &view, &birth, out->nonce,
+	if (sscanf(text, "g%llx-%llx-%8[0-9a-f]%n", &view, &issued, out->nonce,
 		   &end) != 3 ||
 	    text[end])
 		return err_set(e, ERR_INVALID, "the grant cannot be read");
 	out->view = view;
-	out->issued_ms = (int64_t)birth;
+	out->issued_ms = (int64_t)issued;
 	return 0;
 }
--- a/lib/claim/judge.c
+++ b/lib/claim/judge.c
@@ -9,20 +9,21 @@
 #include "base/hsh.h"
 
 /*
- * A birth this far in the future is refused: an entry's clock is wrong, and
- * its keys would be held for too long.
+ * A grant that was issued further in the future than this, in ms, is refused:
+ * the clock of the issuing entry is wrong, and its keys would be stored for too
+ * long.
  */
-#define MAX_BIRTH_AHEAD_MS 60000
+#define MAX_ISSUED_AHEAD_MS 60000
 
 struct vote {
 	struct cds_list_head bucket;
-	struct cds_list_head age; /* by birth, about */
+	struct cds_list_head age; /* in judge.by_age */
 	struct judge_vote v;
 	uint64_t hash;
 };
 
-/* A judge of one view for which this entry answers as the reserve. */
-struct adoption {
+/* Judge of a view whose votes this entry has taken over as the reserve. */
+struct import {
 	struct cds_list_head node;
 	uint64_t from;
 	uint64_t view;
@@ -34,9 +35,9 @@
 	size_t max_votes;
 	size_t count;
 	bool stopped;
-	int64_t now_ms; /* highest wall clock seen */
-	struct cds_list_head adoptions;
-	struct cds_list_head by_age;
+	int64_t now_ms; /* highest wall clock time seen; never decreases */
+	struct cds_list_head imports;
+	struct cds_list_head by_age; /* votes, ascending by issued_ms */
 	size_t nr_buckets;
 	struct cds_list_head *buckets;
 };
@@ -56,7 +57,7 @@
 	for (i = 0; i < n; i++)
 		CDS_INIT_LIST_HEAD(&j->buckets[i]);
 	CDS_INIT_LIST_HEAD(&j->by_age);
-	CDS_INIT_LIST_HEAD(&j->adoptions);
+	CDS_INIT_LIST_HEAD(&j->imports);
 	return j;
 }
 
@@ -71,13 +72,13 @@
 void judge_free(struct judge *j)
 {
 	struct vote *v, *tmp;
-	struct adoption *a, *tmp_a;
+	struct import *a, *tmp_a;
 
 	if (!j)
 		return;
 	cds_list_for_each_entry_safe(v, tmp, &j->by_age, age)
 		drop_vote(j, v);
-	cds_list_for_each_entry_safe(a, tmp_a, &j->adoptions, node)
+	cds_list_for_each_entry_safe(a, tmp_a, &j->imports, node)
 		free(a);
 	free(j->buckets);
 	free(j);
@@ -85,20 +86,20 @@
 
 /* ---- Votes ---- */
 
-static uint64_t vote_hash(const char *key, unsigned place)
+static uint64_t vote_hash(const char *key, unsigned judge_index)
 {
-	return hsh_str(key, 100 + place);
+	return hsh_str(key, 100 + judge_index);
 }
 
 static struct vote *find_vote(const struct judge *j, const char *key,
-			      unsigned place)
+			      unsigned judge_index)
 {
-	const uint64_t hash = vote_hash(key, place);
+	const uint64_t hash = vote_hash(key, judge_index);
 	struct cds_list_head *head = &j->buckets[hash & (j->nr_buckets - 1)];
 	struct vote *v;
 
 	cds_list_for_each_entry(v, head, bucket) {
-		if (v->hash == hash && v->v.judge_index == place &&
+		if (v->hash == hash && v->v.judge_index == judge_index &&
 		    !strcmp(v->v.key, key))
 			return v;
 	}
@@ -106,8 +107,8 @@
 }
 
 /*
- * Ages are nearly in order already (births are recent), so the place is found
- * from the young end in a step or two.
+ * Keys arrive nearly in the order in which they were issued, so a search from
+ * the newest end finds the position in a step or two.
  */
 static void insert_by_age(struct judge *j, struct vote *v)
 {
@@ -134,22 +135,22 @@
 	j->count++;
 }
 
-static void see_time(struct judge *j, int64_t wall_ms)
+static void advance_time(struct judge *j, int64_t wall_ms)
 {
 	if (wall_ms > j->now_ms)
 		j->now_ms = wall_ms;
 }
 
-static bool expired(const struct judge *j, int64_t birth_ms)
+static bool expired(const struct judge *j, int64_t issued_ms)
 {
-	return j->now_ms > birth_ms + j->key_life_ms;
+	return j->now_ms > issued_ms + j->key_life_ms;
 }
 
 void judge_expire(struct judge *j, int64_t wall_ms)
 {
 	struct vote *v, *tmp;
 
-	see_time(j, wall_ms);
+	advance_time(j, wall_ms);
 	cds_list_for_each_entry_safe(v, tmp, &j->by_age, age) {
 		if (!expired(j, v->v.issued_ms))
 			break;
@@ -159,11 +160,11 @@
 
 /* ---- Deciding ---- */
 
-static bool has_adopted(const struct judge *j, uint64_t from, uint64_t view)
+static bool has_imported(const struct judge *j, uint64_t from, uint64_t view)
 {
-	struct adoption *a;
+	struct import *a;
 
-	cds_list_for_each_entry(a, &j->adoptions, node) {
+	cds_list_for_each_entry(a, &j->imports, node) {
 		if (a->from == from && a->view == view)
 			return true;
 	}
@@ -176,29 +177,30 @@
 	return s->has_reserve && view->members[s->reserve].id == id;
 }
 
-static enum judge_reason check_ask(const struct judge *j,
-				   const struct view *view,
-				   const struct judge_request *ask)
+static enum judge_reason check_request(const struct judge *j,
+				       const struct view *view,
+				       const struct judge_request *request)
 {
 	const struct view_slot *s;
 	uint64_t judge;
 
-	if (ask->slot >= VIEW_SLOTS || !*ask->key ||
-	    ask->issued_ms > j->now_ms + MAX_BIRTH_AHEAD_MS || !ask->claimant)
+	if (request->slot >= VIEW_SLOTS || !*request->key ||
+	    request->issued_ms > j->now_ms + MAX_ISSUED_AHEAD_MS ||
+	    !request->claimant)
 		return JUDGE_BAD_REQUEST;
-	if (!view || view->number != ask->view)
+	if (!view || view->number != request->view)
 		return JUDGE_UNKNOWN_VIEW;
-	s = &view->slots[ask->slot];
-	if (ask->judge_index >= s->nr_judges)
+	s = &view->slots[request->slot];
+	if (request->judge_index >= s->nr_judges)
 		return JUDGE_BAD_REQUEST;
-	/* Before anything else: once stopped, no vote of ours may change. */
+	/* Not even own votes are added after judge_stop. */
 	if (j->stopped)
 		return JUDGE_LEAVING;
-	judge = view->members[s->judge[ask->judge_index]].id;
+	judge = view->members[s->judge[request->judge_index]].id;
 	if (judge != j->self && !(is_reserve(view, s, j->self) &&
-				  has_adopted(j, judge, view->number)))
+				  has_imported(j, judge, view->number)))
 		return JUDGE_NOT_MINE;
-	if (expired(j, ask->issued_ms))
+	if (expired(j, request->issued_ms))
 		return JUDGE_EXPIRED;
 	return JUDGE_OK;
 }
@@ -211,45 +213,47 @@
 }
 
 struct judge_reply judge_decide(struct judge *j, const struct view *view,
-				const struct judge_request *ask,
+				const struct judge_request *request,
 				int64_t wall_ms)
 {
-	struct judge_reply r = { JUDGE_VOTE_GRANTED, JUDGE_OK, ask->claimant };
-	enum judge_reason why;
+	struct judge_reply r = { JUDGE_VOTE_GRANTED, JUDGE_OK,
+				 request->claimant };
+	enum judge_reason reason;
 	const struct vote *old;
 	struct judge_vote v;
 
-	see_time(j, wall_ms);
-	why = check_ask(j, view, ask);
-	if (why != JUDGE_OK)
-		return refuse(why);
-	old = find_vote(j, ask->key, ask->judge_index);
+	advance_time(j, wall_ms);
+	reason = check_request(j, view, request);
+	if (reason != JUDGE_OK)
+		return refuse(reason);
+	old = find_vote(j, request->key, request->judge_index);
 	if (old) {
 		r.voted_for = old->v.claimant;
-		if (old->v.claimant != ask->claimant)
+		if (old->v.claimant != request->claimant)
 			r.verdict = JUDGE_VOTE_TAKEN;
 		return r;
 	}
 	if (j->count >= j->max_votes)
 		return refuse(JUDGE_FULL);
-	str_copy(v.key, ask->key, sizeof(v.key));
-	v.claimant = ask->claimant;
-	v.issued_ms = ask->issued_ms;
-	v.view = ask->view;
-	v.slot = (uint16_t)ask->slot;
-	v.judge_index = (uint8_t)ask->judge_index;
+	str_copy(v.key, request->key, sizeof(v.key));
+	v.claimant = request->claimant;
+	v.issued_ms = request->issued_ms;
+	v.view = request->view;
+	v.slot = (uint16_t)request->slot;
+	v.judge_index = (uint8_t)request->judge_index;
 	add_vote(j, &v);
 	return r;
 }
 
-uint64_t judge_peek(const struct judge *j, const char *key, unsigned place)
+uint64_t judge_peek(const struct judge *j, const char *key,
+		    unsigned judge_index)
 {
-	const struct vote *v = find_vote(j, key, place);
+	const struct vote *v = find_vote(j, key, judge_index);
 
 	return v ? v->v.claimant : 0;
 }
 
-/* ---- Handing on ---- */
+/* ---- Handover ---- */
 
 void judge_stop(struct judge *j)
 {
@@ -257,8 +261,9 @@
 }
 
 /*
- * Only votes given in this entry's own name are handed on: a stand-in that
- * leaves too has no successor, and its adopted votes end as refusals.
+ * Only this entry's own votes are exported. If the reserve shuts down too, the
+ * votes that it has imported have no successor, and requests for them are
+ * refused.
  */
 struct judge_vote *judge_export(const struct judge *j, const struct view *view,
 				uint64_t reserve, size_t *n)
@@ -279,8 +284,8 @@
 	return out;
 }
 
-static bool vote_fits(const struct judge *j, const struct view *view,
-		      uint64_t from, const struct judge_vote *v)
+static bool can_import_vote(const struct judge *j, const struct view *view,
+			    uint64_t from, const struct judge_vote *v)
 {
 	const struct view_slot *s;
 
@@ -295,18 +300,18 @@
 bool judge_import(struct judge *j, const struct view *view, uint64_t from,
 		  const struct judge_vote *votes, size_t n, int64_t wall_ms)
 {
-	struct adoption *a;
+	struct import *a;
 	size_t i;
 
-	see_time(j, wall_ms);
+	advance_time(j, wall_ms);
 	if (!view || j->stopped || from == j->self || !view_find(view, from))
 		return false;
-	if (has_adopted(j, from, view->number))
+	if (has_imported(j, from, view->number))
 		return true;
 	if (j->count + n > j->max_votes)
 		return false;
 	for (i = 0; i < n; i++) {
-		if (!vote_fits(j, view, from, &votes[i]))
+		if (!can_import_vote(j, view, from, &votes[i]))
 			return false;
 	}
 	for (i = 0; i < n; i++) {
@@ -316,7 +321,7 @@
 	a = mem_new(sizeof(*a));
 	a->from = from;
 	a->view = view->number;
-	cds_list_add(&a->node, &j->adoptions);
+	cds_list_add(&a->node, &j->imports);
 	return true;
 }
 
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -1,4 +1,4 @@
-/* Grants, judges and claims; the judge against a naive twin. */
+/* Tests of grants, judges (compared with an array of votes) and claims. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "claim/claim.h"
 #include "support/unit.h"
 
-#define LIFE 10000
+#define KEY_LIFE_MS 10000
 
 static struct view *make_view(uint64_t number)
 {
@@ -24,12 +24,13 @@
 	return view_create(number, m, 6);
 }
 
-static struct judge_request ask_for(const char *key, unsigned slot,
-				    unsigned place, uint64_t claimant)
+static struct judge_request make_request(const char *key, unsigned slot,
+					 unsigned judge_index,
+					 uint64_t claimant)
 {
 	struct judge_request q = { .view = 1,
 				   .slot = slot,
-				   .judge_index = place,
+				   .judge_index = judge_index,
 				   .claimant = claimant,
 				   .issued_ms = 1000 };
 
@@ -37,9 +38,10 @@
 	return q;
 }
 
-static uint64_t judge_id(const struct view *v, unsigned slot, unsigned place)
+static uint64_t judge_id(const struct view *v, unsigned slot,
+			 unsigned judge_index)
 {
-	return v->members[v->slots[slot].judge[place]].id;
+	return v->members[v->slots[slot].judge[judge_index]].id;
 }
 
 static uint64_t reserve_id(const struct view *v, unsigned slot)
@@ -62,7 +64,7 @@
 	CU_ASSERT_EQUAL(back.view, 7);
 	CU_ASSERT_EQUAL(back.issued_ms, 123456);
 	CU_ASSERT_STRING_EQUAL(back.nonce, "0a0b0c0d");
-	/* Another account's, another secret's, an altered birth. */
+	/* Wrong account, wrong secret, modified time of issue. */
 	CU_ASSERT_EQUAL(grant_parse(key, "auction", "secret", &back, &e), -1);
 	CU_ASSERT_EQUAL(e.code, ERR_DENIED);
 	CU_ASSERT_EQUAL(grant_parse(key, "quay", "other", &back, &e), -1);
@@ -73,50 +75,51 @@
 	CU_ASSERT_EQUAL(e.code, ERR_INVALID);
 }
 
-/* ---- The judge against a list that is searched from end to end ---- */
+/* ---- Judges ---- */
 
-struct naive_vote {
+struct recorded_vote {
 	char key[16];
-	unsigned place;
+	unsigned judge_index;
 	uint64_t claimant;
 };
 
-static void judge_like_naive(void)
+static void judge_matches_array(void)
 {
 	struct view *v = make_view(1);
-	struct naive_vote seen[4096];
+	struct recorded_vote seen[4096];
 	size_t nr = 0, i;
 	struct rnd rnd;
 	unsigned step;
-	struct judge *j = judge_create(v->members[0].id, LIFE, 4096);
+	struct judge *j = judge_create(v->members[0].id, KEY_LIFE_MS, 4096);
 
 	rnd_seed(&rnd, 5);
 	for (step = 0; step < 20000; step++) {
 		const unsigned slot = rnd_below(&rnd, VIEW_SLOTS);
-		const unsigned place = rnd_below(&rnd, 3);
-		const uint64_t who = 1 + rnd_below(&rnd, 3);
+		const unsigned judge_index = rnd_below(&rnd, 3);
+		const uint64_t claimant = 1 + rnd_below(&rnd, 3);
 		char key[16];
 		struct judge_request q;
 		struct judge_reply r;
 
 		snprintf(key, sizeof(key), "k%u", rnd_below(&rnd, 300));
-		q = ask_for(key, slot, place, who);
+		q = make_request(key, slot, judge_index, claimant);
 		r = judge_decide(j, v, &q, 2000);
-		if (judge_id(v, slot, place) != v->members[0].id) {
+		if (judge_id(v, slot, judge_index) != v->members[0].id) {
 			CU_ASSERT_EQUAL(r.reason, JUDGE_NOT_MINE);
 			continue;
 		}
 		for (i = 0; i < nr; i++) {
-			if (!strcmp(seen[i].key, key) && seen[i].place == place)
+			if (!strcmp(seen[i].key, key) &&
+			    seen[i].judge_index == judge_index)
 				break;
 		}
 		if (i == nr) {
 			strcpy(seen[nr].key, key);
-			seen[nr].place = place;
-			seen[nr++].claimant = who;
+			seen[nr].judge_index = judge_index;
+			seen[nr++].claimant = claimant;
 		}
 		CU_ASSERT_EQUAL(r.voted_for, seen[i].claimant);
-		CU_ASSERT_EQUAL(r.verdict, seen[i].claimant == who
+		CU_ASSERT_EQUAL(r.verdict, seen[i].claimant == claimant
 						   ? JUDGE_VOTE_GRANTED
 						   : JUDGE_VOTE_TAKEN);
 	}
@@ -126,20 +129,20 @@
 }
 
 /*
- * Symptom: one key runs a second time long after the first.
- * Events: the judge forgets the key at the end of its life; the caller sends
- * it again, and the instance's clock has been set back.
- * Cause: the key looks young again. "Now" must never go back.
+ * A key must not run a second time long after the first: the judge removes the
+ * vote at the end of the key's lifetime, the client sends the key again, and
+ * the clock of the instance has been set back, so that the key looks valid
+ * again. The time of a judge must never go back.
  */
-static void expired_is_never_judged_afresh(void)
+static void expired_key_gets_no_new_vote(void)
 {
 	struct view *v = make_view(1);
-	struct judge *j = judge_create(judge_id(v, 9, 0), LIFE, 16);
-	struct judge_request q = ask_for("k", 9, 0, 5);
+	struct judge *j = judge_create(judge_id(v, 9, 0), KEY_LIFE_MS, 16);
+	struct judge_request q = make_request("k", 9, 0, 5);
 
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).verdict,
 			JUDGE_VOTE_GRANTED);
-	judge_expire(j, 1000 + LIFE + 1);
+	judge_expire(j, 1000 + KEY_LIFE_MS + 1);
 	CU_ASSERT_EQUAL(judge_count(j), 0);
 	q.claimant = 6;
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).reason, JUDGE_EXPIRED);
@@ -148,26 +151,27 @@
 }
 
 /*
- * Symptom: two entries both hold two votes.
- * Events: a judge leaves, its hand-over gets no reply, it is sent again.
- * Cause: two successors are two votes of one judge. Only the slot's reserve
- * may take them, and the judge itself never votes again.
+ * Two entries must not both get two votes. A judge shuts down, its handover of
+ * the votes gets no reply, and it sends them again: two successors would mean
+ * two votes of one judge. Only the reserve of the slot may import them, and the
+ * judge itself never votes again.
  */
-static void hand_over(void)
+static void votes_go_to_reserve_only(void)
 {
 	struct view *v = make_view(1);
 	const unsigned slot = 11;
-	struct judge *j = judge_create(judge_id(v, slot, 1), LIFE, 16);
-	struct judge *r = judge_create(reserve_id(v, slot), LIFE, 16);
-	struct judge *other = judge_create(judge_id(v, slot, 2), LIFE, 16);
-	struct judge_request q = ask_for("k", slot, 1, 5);
+	struct judge *j = judge_create(judge_id(v, slot, 1), KEY_LIFE_MS, 16);
+	struct judge *r = judge_create(reserve_id(v, slot), KEY_LIFE_MS, 16);
+	struct judge *other =
+		judge_create(judge_id(v, slot, 2), KEY_LIFE_MS, 16);
+	struct judge_request q = make_request("k", slot, 1, 5);
 	struct judge_vote *votes;
 	size_t n;
 
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).verdict,
 			JUDGE_VOTE_GRANTED);
 	q.claimant = 6;
-	/* Not adopted yet: the reserve refuses. */
+	/* The reserve refuses until it has imported the votes. */
 	CU_ASSERT_EQUAL(judge_decide(r, v, &q, 1500).reason, JUDGE_NOT_MINE);
 	judge_stop(j);
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).reason, JUDGE_LEAVING);
@@ -187,20 +191,20 @@
 }
 
 /*
- * Symptom: a restarted entry gives a vote it gave before.
- * Events: a judge restarts at the same address within the key's life.
- * Cause: its memory is gone; views that name its old incarnation must be
- * refused by the new one.
+ * A judge that restarts at the same address within the lifetime of a key has
+ * lost its votes and must not vote again: the new incarnation refuses views
+ * that contain the old one.
  */
-static void restarted_judge(void)
+static void restarted_judge_refuses_old_views(void)
 {
 	struct view *v = make_view(1);
-	struct judge *j = judge_create(
-		view_instance_id("a", v->members[0].boot + 100), LIFE, 16);
+	struct judge *j =
+		judge_create(view_instance_id("a", v->members[0].boot + 100),
+			     KEY_LIFE_MS, 16);
 	unsigned slot, refused = 0;
 
 	for (slot = 0; slot < 200; slot++) {
-		const struct judge_request q = ask_for("k", slot, 0, 5);
+		const struct judge_request q = make_request("k", slot, 0, 5);
 
 		refused += judge_decide(j, v, &q, 1500).reason ==
 			   JUDGE_NOT_MINE;
@@ -210,38 +214,39 @@
 	view_free(v);
 }
 
-static void bad_asks(void)
+static void invalid_requests(void)
 {
 	struct view *v = make_view(1);
-	struct judge *j = judge_create(judge_id(v, 3, 0), LIFE, 2);
-	struct judge_request q = ask_for("k", 3, 0, 5);
+	struct judge *j = judge_create(judge_id(v, 3, 0), KEY_LIFE_MS, 2);
+	struct judge_request q = make_request("k", 3, 0, 5);
 
 	CU_ASSERT_EQUAL(judge_decide(j, NULL, &q, 1).reason,
 			JUDGE_UNKNOWN_VIEW);
 	q.view = 2;
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_UNKNOWN_VIEW);
-	q = ask_for("k", VIEW_SLOTS, 0, 5);
+	q = make_request("k", VIEW_SLOTS, 0, 5);
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
-	q = ask_for("k", 3, 3, 5);
+	q = make_request("k", 3, 3, 5);
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
-	q = ask_for("k", 3, 0, 0);
+	q = make_request("k", 3, 0, 0);
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
-	q = ask_for("k", 3, 0, 5);
+	q = make_request("k", 3, 0, 5);
 	q.issued_ms = 1000000;
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1).reason, JUDGE_BAD_REQUEST);
-	q = ask_for("k1", 3, 0, 5);
+	q = make_request("k1", 3, 0, 5);
 	judge_decide(j, v, &q, 1500);
-	q = ask_for("k2", 3, 0, 5);
+	q = make_request("k2", 3, 0, 5);
 	judge_decide(j, v, &q, 1500);
-	q = ask_for("k3", 3, 0, 5);
+	q = make_request("k3", 3, 0, 5);
 	CU_ASSERT_EQUAL(judge_decide(j, v, &q, 1500).reason, JUDGE_FULL);
 	judge_free(j);
 	view_free(v);
 }
 
-/* ---- Claims: all answers of three judges, against counting by hand ---- */
+/* ---- Claims: all combinations of the answers of three judges ---- */
 
-static enum claim_outcome naive_outcome(const unsigned a[3])
+/* Answers: 0 a vote for this entry, 1 and 2 for others, 3 none. */
+static enum claim_outcome expected_outcome(const unsigned a[3])
 {
 	unsigned mine = 0, b = 0, c = 0, lost = 0, i;
 
@@ -258,7 +263,7 @@
 	return lost ? CLAIM_UNKNOWN : CLAIM_BURNED;
 }
 
-static void claim_like_naive(void)
+static void claim_outcome_of_all_answers(void)
 {
 	unsigned n, i;
 
@@ -279,12 +284,12 @@
 			else
 				claim_answer(&c, i, &r);
 		}
-		CU_ASSERT_EQUAL(claim_outcome(&c), naive_outcome(a));
+		CU_ASSERT_EQUAL(claim_outcome(&c), expected_outcome(a));
 	}
 }
 
-/* One judge that cannot be reached is too few to say "not run". */
-static void one_silent_judge(void)
+/* With one vote unknown, the request cannot be reported as not run. */
+static void one_judge_without_answer(void)
 {
 	const struct judge_reply mine = { JUDGE_VOTE_GRANTED, JUDGE_OK, 1 };
 	const struct judge_reply theirs = { JUDGE_VOTE_TAKEN, JUDGE_OK, 2 };
@@ -296,20 +301,21 @@
 	CU_ASSERT_EQUAL(claim_outcome(&c), CLAIM_PENDING);
 	claim_no_answer(&c, 2);
 	CU_ASSERT_EQUAL(claim_outcome(&c), CLAIM_UNKNOWN);
-	/* A vote that was heard is not lost by a later silence. */
+	/* A received vote stays valid if the judge does not answer later. */
 	claim_no_answer(&c, 0);
 	CU_ASSERT_EQUAL(c.state[0], CLAIM_VOTED);
 }
 
 static const struct unit_test tests[] = {
 	{ "grants", grants },
-	{ "judge like the naive twin", judge_like_naive },
-	{ "expired is never judged afresh", expired_is_never_judged_afresh },
-	{ "hand-over to one successor", hand_over },
-	{ "a restarted judge refuses old views", restarted_judge },
-	{ "bad asks", bad_asks },
-	{ "claim like the naive twin", claim_like_naive },
-	{ "one silent judge", one_silent_judge },
+	{ "a judge matches an array of votes", judge_matches_array },
+	{ "an expired key gets no new vote", expired_key_gets_no_new_vote },
+	{ "votes go to the reserve only", votes_go_to_reserve_only },
+	{ "a restarted judge refuses old views",
+	  restarted_judge_refuses_old_views },
+	{ "invalid requests", invalid_requests },
+	{ "claim outcome of all answers", claim_outcome_of_all_answers },
+	{ "one judge without an answer", one_judge_without_answer },
 };
 
 UNIT_MAIN("claim", tests)
