--- a/lib/claim/judge.h
+++ b/lib/claim/judge.h
@@ -10,8 +10,8 @@
  * single vote, because:
  * - a judge is one incarnation of an entry; a restarted entry has a new
  *   identity and refuses views that contain the old one;
- * - a judge that shuts down first stops voting for good and only then hands
- *   its votes over, always to the reserve of the slot, even if it retries;
+ * - a judge that shuts down stops voting for good before it hands its votes
+ *   over, and always hands them to the reserve of the slot, also in retries;
  * - the reserve answers for the judge whose votes it took over, and votes are
  *   counted per judge;
  * - a key past its lifetime is refused instead of getting a new vote, and the
--- a/lib/config/set.h
+++ b/lib/config/set.h
@@ -37,8 +37,10 @@
 	int64_t drain_ms;      /* time limit of the drain after SIGTERM */
 	int64_t key_life_ms;   /* how long a request key is remembered */
 	int64_t replay_ms;     /* how long its response is kept */
-	/* Time without contact to key-value service and peers after which the
-	 * entry accepts no new requests. */
+	/*
+	 * Time without contact to the key-value service and all peers after
+	 * which the entry accepts no new requests.
+	 */
 	int64_t cut_off_ms;
 	int64_t lease_s; /* duration of duty leases */
 	int64_t copy_ms; /* batch interval of token copies to the holder */
--- a/lib/config/spread.h
+++ b/lib/config/spread.h
@@ -27,7 +27,7 @@
 	SPREAD_NEW,	 /* accepted, now in force */
 	SPREAD_SAME,	 /* identical to the item in force */
 	SPREAD_OLD,	 /* rejected: lower revision than that in force */
-	SPREAD_CONFLICT, /* rejected: same revision, other body; a fault */
+	SPREAD_CONFLICT, /* rejected, alarm: same revision, other body */
 	SPREAD_INVALID,	 /* rejected: bad name or size, or the table is full */
 };
 
--- a/lib/config/vfy.h
+++ b/lib/config/vfy.h
@@ -11,10 +11,10 @@
  * Some of the entries watch the store; they are ranked. The first watcher
  * long-polls the store continuously, so it is the first to receive a new
  * version, and announces versions and confirmations to the other entries. The
- * others call the store only if these announcements stop, or if a newer
- * version than theirs is announced. An entry has at most one call pending, so
- * that a large version on a slow link is not transferred several times in
- * parallel.
+ * others call the store only if these announcements stop, if a newer version
+ * than theirs is announced, or if a client request waits for a confirmation. An
+ * entry has at most one call pending, so that a large version on a slow link is
+ * not transferred several times in parallel.
  *
  * A version is immutable, so any entry that has it can pass it on. An entry
  * that does not watch the store first requests an announced version from the
@@ -55,9 +55,9 @@
 #define VFY_RANK_STEP_MS 300
 
 /*
- * Additional age, in ms, before an entry that does not watch the store calls
- * it, and the range of the random delay on top. Announcing to a hundred
- * entries takes 0.6 s. When all entries called by their own clock alone, half
+ * An entry that does not watch the store calls it when the age exceeds
+ * VFY_MAX_AGE_MS by this delay, in ms, plus a random part of up to the jitter.
+ * Announcing to a hundred entries takes 0.6 s. When all entries called by their own clock alone, half
  * of them called before the announcement arrived: 1,200 calls in 50 s on 84
  * entries.
  */
@@ -88,9 +88,9 @@
 
 /*
  * Delay, in ms, between the announcement of a version and the request for it
- * to the followed entry, and the range of the random delay on top. By then
- * that entry has read the version itself, and its some thirty followers do
- * not send their requests at the same moment.
+ * to the followed entry, plus a random part of up to the jitter. By then that
+ * entry has read the version itself. The jitter keeps its followers, some
+ * thirty, from sending their requests at the same moment.
  */
 #define VFY_PEER_DELAY_MS 100
 #define VFY_PEER_JITTER_MS 200
--- a/tests/test_cfg.c
+++ b/tests/test_cfg.c
@@ -178,7 +178,7 @@
 	force_free(&f);
 }
 
-/* A request keeps the version under which it was admitted alive. */
+/* The version under which a request was admitted lives until it ends. */
 static void requests_keep_their_version(void)
 {
 	struct force f;
