--- a/lib/config/cfg.c
+++ b/lib/config/cfg.c
@@ -141,7 +141,7 @@
 	if (len >= sizeof(prefix))
 		len = sizeof(prefix) - 1;
 	memcpy(prefix, path, len);
-	/* Prefixes end with a slash: look up each parent path, longest first. */
+	/* Prefixes end with a slash: try each parent path, longest first. */
 	while (len) {
 		prefix[len] = '\0';
 		if (prefix[len - 1] == '/') {
--- a/lib/config/set.c
+++ b/lib/config/set.c
@@ -113,14 +113,14 @@
 				 "error, warn, info or debug is expected");
 	if (s->drain_ms <= s->entry_list_ms)
 		return jsn_fault(what, text, "drain_ms", e,
-				 "must be longer than entry_list_ms (%lld): a "
-				 "caller may keep its list for that long",
+				 "must be longer than entry_list_ms (%lld): "
+				 "clients may cache the list for that long",
 				 (long long)s->entry_list_ms);
 	if (s->workers <= s->in_flight)
 		return jsn_fault(
 			what, text, "workers", e,
 			"must be more than in_flight (%lld), or status "
-			"calls would wait behind answers",
+			"calls would wait behind requests",
 			(long long)s->in_flight);
 	return 0;
 }
--- a/lib/config/vfy.h
+++ b/lib/config/vfy.h
@@ -57,9 +57,9 @@
 /*
  * An entry that does not watch the store calls it when the age exceeds
  * VFY_MAX_AGE_MS by this delay, in ms, plus a random part of up to the jitter.
- * Announcing to a hundred entries takes 0.6 s. When all entries called by their own clock alone, half
- * of them called before the announcement arrived: 1,200 calls in 50 s on 84
- * entries.
+ * Announcing to a hundred entries takes 0.6 s. When all entries called by their
+ * own clock alone, half of them called before the announcement arrived: 1,200
+ * calls in 50 s on 84 entries.
  */
 #define VFY_NON_WATCHER_DELAY_MS 1000
 #define VFY_NON_WATCHER_JITTER_MS 600
