--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -157,7 +157,7 @@
 	const int64_t bound = (int64_t)r->en->conf->bounds.apply_ms;
 
 	return !force_behind(f) &&
-	       f->fresh_ms >= r->arrived_ms - bound + VERIFY_MARGIN_MS;
+	       f->confirmed_ms >= r->arrived_ms - bound + VERIFY_MARGIN_MS;
 }
 
 /*
@@ -180,8 +180,9 @@
 
 	if (!conf->bounds.strict_revoke || r->route->anonymous)
 		return true;
-	return force_covers(&r->en->force, r->arrived_ms,
-			    (int)conf->bounds.revoke_ms - REVOKE_MARGIN_MS);
+	return force_can_check_key(&r->en->force, r->arrived_ms,
+				   (int)conf->bounds.revoke_ms -
+					   REVOKE_MARGIN_MS);
 }
 
 /* False if the route needs an account and the request's key is unknown. */
@@ -213,7 +214,7 @@
 /* What the request costs of its account's limit: requests or tokens. */
 static double charge_of(const struct edge_req *r)
 {
-	if (!r->account->by_tokens)
+	if (!r->account->rate_in_tokens)
 		return 1;
 	if (!r->attempt.has_token_counts)
 		return r->account->default_tokens;
