--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -7,7 +7,7 @@
  * longer. Both are taken from the time in which a change must be in force.
  */
 #define PEER_WAIT_MS 200
-#define PEER_EXTRA_MS 200
+#define PEER_MARGIN_MS 200
 
 /* ---- Versions ---- */
 
@@ -27,13 +27,14 @@
  * The last good version stays in force if this one cannot be read, or is older
  * since the store came back from a copy. Returns true if this one is in force.
  */
-static bool take_config(struct edge *en, const struct sto_item *it,
-			int64_t asked_ms)
+static bool apply_config(struct edge *en, const struct sto_item *it,
+			 int64_t asked_ms)
 {
 	struct err e = ERR_INIT;
 	struct cfg *c = en->wire->decode_config(it->value, it->len, &e);
 	/* Nobody named it yet, and it is not our first one: others lack it. */
-	const bool news = c && en->force.cfg && c->version > en->force.wanted;
+	const bool announce = c && en->force.cfg &&
+			      c->version > en->force.wanted;
 	int64_t version;
 
 	if (!c) {
@@ -43,14 +44,14 @@
 	version = c->version;
 	if (force_offer(&en->force, c, asked_ms))
 		log_config(en, en->force.cfg, it->revision);
-	if (news)
+	if (announce)
 		edge_peer_broadcast(en, edge_now(en));
 	return en->force.cfg->version == version;
 }
 
 /* ---- Calls ---- */
 
-static void failed(struct edge *en)
+static void check_failed(struct edge *en)
 {
 	met_inc(en->m.store_failures);
 	vfy_failed(&en->vfy);
@@ -97,10 +98,11 @@
 }
 
 /* `at_ms`: when it was the newest version; 0: that is not known. */
-static void brought(struct edge *en, const struct sto_answer *a,
-		    const struct sto_item *it, int64_t at_ms, bool from_watch)
+static void config_received(struct edge *en, const struct sto_answer *a,
+			    const struct sto_item *it, int64_t at_ms,
+			    bool from_watch)
 {
-	const bool in_force = take_config(en, it, at_ms);
+	const bool in_force = apply_config(en, it, at_ms);
 
 	if (in_force)
 		keep_copy(en, a, from_watch);
@@ -123,10 +125,10 @@
 	 */
 	if (a->outcome != STO_OK || !it ||
 	    (!en->force.cfg && !edge_era_settled(en, edge_now(en)))) {
-		failed(en);
+		check_failed(en);
 		return;
 	}
-	brought(en, a, it, a->asked_ms, false);
+	config_received(en, a, it, a->asked_ms, false);
 	edge_req_resume_waiting(en);
 }
 
@@ -149,11 +151,11 @@
 		return;
 	}
 	if (a->outcome != STO_OK) {
-		failed(en);
+		check_failed(en);
 		return;
 	}
 	if (it)
-		brought(en, a, it, vfy_asked_ms(&en->vfy), true);
+		config_received(en, a, it, vfy_asked_ms(&en->vfy), true);
 	else
 		confirm(en, vfy_unchanged(&en->vfy, a->revision, edge_now(en)));
 	edge_req_resume_waiting(en);
@@ -161,22 +163,22 @@
 
 /* ---- Versions from another entry ---- */
 
-static void on_handed(void *arg, struct sto_answer *a)
+static void on_peer_config(void *arg, struct sto_answer *a)
 {
 	struct edge *en = arg;
 	const struct sto_item *it = find_config(en, a);
 
 	if (a->outcome == STO_OK && it)
-		brought(en, a, it, 0, true);
+		config_received(en, a, it, 0, true);
 	else
 		vfy_peer_failed(&en->vfy);
 	edge_config_tick(en, edge_now(en));
 }
 
-static void ask_peer(struct edge *en, const struct prs_peer *p)
+static void fetch_from_peer(struct edge *en, const struct prs_peer *p)
 {
 	sto_follow(en->store, EDGE_CONFIG_LANE, &p->addr, en->force.wanted,
-		   PEER_WAIT_MS, PEER_EXTRA_MS, on_handed, en);
+		   PEER_WAIT_MS, PEER_MARGIN_MS, on_peer_config, en);
 }
 
 void edge_config_tick(struct edge *en, int64_t now)
@@ -203,7 +205,7 @@
 	if (call == VFY_NONE)
 		return;
 	if (call == VFY_PEER) {
-		ask_peer(en, leader);
+		fetch_from_peer(en, leader);
 		return;
 	}
 	c.kind = call == VFY_READ ? STO_GET : STO_WATCH;
--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -11,11 +11,11 @@
  * entries have arrived by datagram; entries that are cut off are waited for
  * until the second figure, within the ten seconds in which it is due.
  */
-#define REPORT_AFTER_MS 1200
-#define REPORT_LATEST_MS 5500
+#define REPORT_MIN_DELAY_MS 1200
+#define REPORT_MAX_DELAY_MS 5500
 
 /* An entry's counts of a window are whole when told so long after its end. */
-#define TOLD_AFTER_MS 300
+#define COUNTS_FINAL_MS 300
 
 /* Windows that are kept: the report's bound and some more. */
 #define KEPT_WINDOWS 6
@@ -73,12 +73,12 @@
 /* Sends at once: what holds now may not hold a moment later. */
 bool edge_duty_call(struct edge_duty *d, struct buf *wire)
 {
-	d->calling = true;
+	d->call_in_flight = true;
 	d->status = 0;
 	if (htc_start(&d->cloud, wire, 0, false, EDGE_DUTY_CALL_MS,
 		      &cloud_vtable, d))
 		return true;
-	d->calling = false;
+	d->call_in_flight = false;
 	return false;
 }
 
@@ -98,14 +98,14 @@
 }
 
 /* Every entry that lives has told its counts after the window's end. */
-static bool all_told(const struct edge *en, int64_t window_end_ms)
+static bool all_counts_received(const struct edge *en, int64_t window_end_ms)
 {
 	const struct prs_peer *p;
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (!p->registered && !prs_alive(p, edge_now(en)))
 			continue;
-		if (p->counted_true_ms < window_end_ms + TOLD_AFTER_MS)
+		if (p->counted_true_ms < window_end_ms + COUNTS_FINAL_MS)
 			return false;
 	}
 	return true;
@@ -116,11 +116,11 @@
 	struct edge *en = d->en;
 
 	jlog_begin(en->log, JLOG_INFO, "usage_report");
-	jlog_int(en->log, "window", d->window);
+	jlog_int(en->log, "window", d->report_window);
 	jlog_str(en->log, "step", what);
 	jlog_int(en->log, "status", status);
 	jlog_int(en->log, "fence", en->lead.fence);
-	jlog_str(en->log, "counts", buf_cstr(&d->counts));
+	jlog_str(en->log, "counts", buf_cstr(&d->report_counts));
 	jlog_end(en->log);
 }
 
@@ -130,40 +130,42 @@
 	const struct wire_duty w = edge_duty_wire(en);
 	struct buf wire = BUF_INIT;
 
-	if (!edge_duty_may_act(en) || d->calling)
+	if (!edge_duty_may_act(en) || d->call_in_flight)
 		return;
-	en->wire->encode_usage(&w, d->window, buf_cstr(&d->counts), &wire);
+	en->wire->encode_usage(&w, d->report_window,
+			       buf_cstr(&d->report_counts), &wire);
 	met_inc(en->m.usage_reports);
 	if (!edge_duty_call(d, &wire))
-		d->not_before_ms = edge_now(en) + EDGE_DUTY_RETRY_MS;
+		d->next_attempt_ms = edge_now(en) + EDGE_DUTY_RETRY_MS;
 }
 
-static void send_as_written(struct edge_duty *d, const char *counts, size_t len)
+static void send_stored_report(struct edge_duty *d, const char *counts,
+			       size_t len)
 {
-	buf_reset(&d->counts);
-	buf_add(&d->counts, counts, len);
-	d->step = STEP_SENDING;
+	buf_reset(&d->report_counts);
+	buf_add(&d->report_counts, counts, len);
+	d->report_state = REPORT_SENDING;
 	send_report(d);
 }
 
 /* Nothing is known to stand: the same window is written again. */
-static void write_again(struct edge_duty *d)
+static void retry_write(struct edge_duty *d)
 {
-	d->step = STEP_IDLE;
-	d->next_window = d->window;
-	d->not_before_ms = edge_now(d->en) + EDGE_DUTY_RETRY_MS;
+	d->report_state = REPORT_IDLE;
+	d->next_window = d->report_window;
+	d->next_attempt_ms = edge_now(d->en) + EDGE_DUTY_RETRY_MS;
 }
 
 static void on_read_back(void *arg, struct sto_answer *a)
 {
 	struct edge_duty *d = arg;
 
-	if (d->step != STEP_WRITING)
+	if (d->report_state != REPORT_WRITING)
 		return;
 	if (a->outcome == STO_OK && a->nr_items && a->items[0].value)
-		send_as_written(d, a->items[0].value, a->items[0].len);
+		send_stored_report(d, a->items[0].value, a->items[0].len);
 	else
-		write_again(d);
+		retry_write(d);
 }
 
 static void report_key(char *out, size_t size, int64_t window)
@@ -177,7 +179,7 @@
 	char key[64];
 	const struct sto_call c = { .kind = STO_GET, .key = key };
 
-	report_key(key, sizeof(key), d->window);
+	report_key(key, sizeof(key), d->report_window);
 	sto_call(d->en->store, &c, on_read_back, d);
 }
 
@@ -186,15 +188,15 @@
 	struct edge_duty *d = arg;
 
 	log_report(d, sto_outcome_name(a->outcome), 0);
-	if (d->step != STEP_WRITING)
+	if (d->report_state != REPORT_WRITING)
 		return;
 	if (a->outcome == STO_OK) {
-		d->step = STEP_SENDING;
+		d->report_state = REPORT_SENDING;
 		send_report(d);
 	} else if (a->outcome == STO_CONFLICT) {
 		read_back(d);
 	} else {
-		write_again(d);
+		retry_write(d);
 	}
 }
 
@@ -211,14 +213,15 @@
 			      .nr_conditions = 2,
 			      .nr_rows = 2 };
 
-	report_key(key, sizeof(key), d->window);
-	report_key(old, sizeof(old), d->window - KEPT_WINDOWS);
+	report_key(key, sizeof(key), d->report_window);
+	report_key(old, sizeof(old), d->report_window - KEPT_WINDOWS);
 	c.conditions[0] = (struct sto_condition){ key, 0 };
 	c.conditions[1] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
-	c.rows[0] = (struct sto_row){ key, d->counts.data, d->counts.len, 0 };
+	c.rows[0] = (struct sto_row){ key, d->report_counts.data,
+				      d->report_counts.len, 0 };
 	c.rows[1] = (struct sto_row){ old, NULL, 0, 0 };
-	d->step = STEP_WRITING;
+	d->report_state = REPORT_WRITING;
 	sto_call(en->store, &c, on_written, d);
 }
 
@@ -228,12 +231,12 @@
 	struct usage_total totals[MAX_ACCOUNTS];
 	const size_t n = usage_sum(&en->usage, window, totals, MAX_ACCOUNTS);
 
-	d->window = window;
+	d->report_window = window;
 	d->next_window = window + 1;
-	buf_reset(&d->counts);
+	buf_reset(&d->report_counts);
 	if (!n)
 		return; /* nothing ran: nothing to report */
-	en->wire->encode_usage_counts(totals, n, &d->counts);
+	en->wire->encode_usage_counts(totals, n, &d->report_counts);
 	write_report(d);
 }
 
@@ -243,20 +246,20 @@
 	const int64_t true_now = truth_now(&en->truth, now);
 	const int64_t current = usage_window(&en->usage, true_now);
 	const int64_t size = en->usage.window_ms;
-	int64_t end, late;
+	int64_t end, max_windows;
 
 	usage_forget(&en->usage, current - KEPT_WINDOWS);
-	if (now < d->not_before_ms || !edge_duty_may_act(en))
+	if (now < d->next_attempt_ms || !edge_duty_may_act(en))
 		return;
-	if (d->step == STEP_SENDING) {
+	if (d->report_state == REPORT_SENDING) {
 		send_report(d);
 		return;
 	}
-	if (d->step != STEP_IDLE)
+	if (d->report_state != REPORT_IDLE)
 		return;
-	late = (int64_t)(en->conf->bounds.usage_late_s * 1000) / size;
-	if (d->next_window < current - late)
-		d->next_window = current - late;
+	max_windows = (int64_t)(en->conf->bounds.usage_late_s * 1000) / size;
+	if (d->next_window < current - max_windows)
+		d->next_window = current - max_windows;
 	/*
 	 * The store may have lost that a window was reported, and another
 	 * report of it, by other counts, must not follow: those that ended
@@ -269,9 +272,10 @@
 	if (d->next_window >= current)
 		return;
 	end = (d->next_window + 1) * size;
-	if (true_now < end + REPORT_AFTER_MS)
+	if (true_now < end + REPORT_MIN_DELAY_MS)
 		return;
-	if (!all_told(en, end) && true_now < end + REPORT_LATEST_MS)
+	if (!all_counts_received(en, end) &&
+	    true_now < end + REPORT_MAX_DELAY_MS)
 		return;
 	begin_report(d, d->next_window);
 }
@@ -280,18 +284,18 @@
 
 static void call_ended(struct edge_duty *d, int status)
 {
-	d->calling = false;
-	if (d->ordering) {
-		d->ordering = false;
-		edge_scale_ended(d, status);
+	d->call_in_flight = false;
+	if (d->call_is_order) {
+		d->call_is_order = false;
+		edge_scale_order_ended(d, status);
 		return;
 	}
 	log_report(d, "sent", status);
 	/* Only a clear answer ends it; else the same is sent again. */
 	if (status == 200 || (status >= 400 && status < 500 && status != 429))
-		d->step = STEP_IDLE;
+		d->report_state = REPORT_IDLE;
 	else
-		d->not_before_ms = edge_now(d->en) + EDGE_DUTY_RETRY_MS;
+		d->next_attempt_ms = edge_now(d->en) + EDGE_DUTY_RETRY_MS;
 }
 
 void edge_duty_open(struct edge *en)
@@ -315,9 +319,9 @@
 		return;
 	/* A new holder orders what is wanted, whatever was ordered before. */
 	if (!en->lead.mine) {
-		edge_scale_forget(d);
-		if (!d->calling)
-			d->step = STEP_IDLE;
+		edge_scale_reset(d);
+		if (!d->call_in_flight)
+			d->report_state = REPORT_IDLE;
 		return;
 	}
 	if (en->conf->cloud.usage)
--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -11,48 +11,49 @@
 #define EDGE_DUTY_CALL_MS 600
 #define EDGE_DUTY_RETRY_MS 300
 
-enum edge_step {
-	STEP_IDLE,
-	STEP_WRITING, /* the report is written to the store */
-	STEP_SENDING, /* and sent as written */
+enum edge_report_state {
+	REPORT_IDLE,
+	REPORT_WRITING, /* the report is written to the store */
+	REPORT_SENDING, /* and sent as written */
 };
 
-struct edge_order {
+struct edge_scale_order {
 	char service[FLT_NAME];
 	char zone[FLT_NAME];
 	bool reclaimable;
-	int number; /* last order that was accepted; -1: none */
+	int accepted_number; /* last order_in_flight that was accepted; -1: none */
 	int64_t accepted_ms;
-	int64_t dry_ms;
+	int64_t retry_after_ms;
 };
 
 /* What the plan of one service carries from look to look. */
-struct edge_scaled {
+struct edge_plan {
 	char service[FLT_NAME];
 	struct scale_need need;
 	double firm_held; /* of those that stay, see scale_ease */
-	int64_t eased_ms;
+	int64_t firm_held_ms;
 };
 
 struct edge_duty {
 	struct edge *en;
 	struct htc_peer cloud;
-	bool calling; /* one call to the platform at a time */
+	bool call_in_flight; /* one call to the platform at a time */
 
-	enum edge_step step;
-	int64_t window; /* of the report in work */
-	struct buf counts;
+	enum edge_report_state report_state;
+	int64_t report_window; /* of the report in work */
+	struct buf report_counts;
 	int64_t next_window; /* the next to report; 0: not known */
-	int64_t not_before_ms;
+	int64_t next_attempt_ms;
 
-	struct edge_order *orders;
+	struct edge_scale_order *orders;
 	size_t nr_orders;
-	bool ordering;		  /* the call under way is an order */
-	struct edge_order *order; /* which; NULL: forgotten meanwhile */
-	int order_number;
-	struct edge_scaled *scaled; /* a row a service */
-	size_t nr_scaled;
-	bool writing_plan;
+	bool call_is_order; /* the call under way is an order_in_flight */
+	struct edge_scale_order
+		*order_in_flight; /* which; NULL: forgotten meanwhile */
+	int ordered_number;
+	struct edge_plan *plans; /* a row a service */
+	size_t nr_plans;
+	bool plan_write_in_flight;
 	int64_t plan_written_ms;
 	int status;
 };
@@ -72,14 +73,14 @@
 
 void edge_scale_tick(struct edge_duty *d, int64_t now);
 
-/* The order under way ended with this status; 0: no answer. */
-void edge_scale_ended(struct edge_duty *d, int status);
+/* The order_in_flight under way ended with this status; 0: no answer. */
+void edge_scale_order_ended(struct edge_duty *d, int status);
 
 /* A new holder orders what is wanted, whatever was ordered before. */
-void edge_scale_forget(struct edge_duty *d);
+void edge_scale_reset(struct edge_duty *d);
 
 /* The same for one service, after its endpoints were replaced. */
-void edge_scale_forget_service(struct edge_duty *d, const char *service);
+void edge_scale_reset_orders(struct edge_duty *d, const char *service);
 
 /* Number of endpoints that a service needs by its plan; 0: not known. */
 double edge_scale_need(const struct edge_duty *d, const char *service);
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -18,26 +18,26 @@
  */
 #define SETTLE_MS 2500
 
-/* Of the writes that the store bears, all entries together take so many. */
-#define WRITE_PART 0.5
+/* Of the writes that the store bears, writes entries together take so many. */
+#define WRITE_SHARE 0.5
 
 /* Registering anew: a lease, and the key that hangs on it. */
-#define WRITES_EACH 2
+#define WRITES_PER_ENTRY 2
 
 /* The record is written by the entry that ranks first, again if it is not seen. */
 #define RECORD_RETRY_MS 1000
 
-static int64_t spread_ms(struct edge *en, int64_t now)
+static int64_t random_delay_ms(struct edge *en, int64_t now)
 {
-	const double per_s = (double)en->conf->store.writes_per_s * WRITE_PART;
-	const double all = WRITES_EACH * prs_sharing(&en->prs, now);
+	const double per_s = (double)en->conf->store.writes_per_s * WRITE_SHARE;
+	const double writes = WRITES_PER_ENTRY * prs_sharing(&en->prs, now);
 
 	if (per_s < 1)
 		return 0;
-	return rnd_below(&en->rnd, (uint32_t)(all * 1000 / per_s) + 1);
+	return rnd_below(&en->rnd, (uint32_t)(writes * 1000 / per_s) + 1);
 }
 
-static void on_returned(void *arg, int64_t from, int64_t to)
+static void on_restored(void *arg, int64_t from, int64_t to)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -56,12 +56,12 @@
 	force_doubt(&en->force, now + SETTLE_MS);
 	en->vfy.revision = 0;
 	lead_returned(&en->lead, (int64_t)en->conf->bounds.lease_ms, now);
-	edge_lease_invalidate(en, now + spread_ms(en, now));
+	edge_lease_invalidate(en, now + random_delay_ms(en, now));
 }
 
 void edge_era_open(struct edge *en)
 {
-	sto_set_returned(en->store, on_returned, en);
+	sto_set_returned(en->store, on_restored, en);
 }
 
 bool edge_era_settled(const struct edge *en, int64_t now)
@@ -116,7 +116,7 @@
  * All keys of ours were read for the first time. If nobody has noted this era
  * yet it may have begun just now.
  */
-static void learn_first(struct edge *en, int64_t now)
+static void on_first_read(struct edge *en, int64_t now)
 {
 	en->era.record_read = true;
 	if (en->era.recorded_era == sto_era(en->store) || en->era.began_true_ms)
@@ -127,14 +127,15 @@
 
 void edge_era_tick(struct edge *en, int64_t now)
 {
-	const struct edge_watch *own = &en->watches[EDGE_WATCH_SYSTEM];
+	const struct edge_watch *system_watch = &en->watches[EDGE_WATCH_SYSTEM];
 
-	if (!own->mirror.whole || !sto_era(en->store))
+	if (!system_watch->mirror.whole || !sto_era(en->store))
 		return;
 	if (!en->era.record_read)
-		learn_first(en, now);
-	if (en->era.recorded_era == sto_era(en->store) || own->resyncing ||
-	    en->watch_rank != 0 || now < en->era.next_write_ms)
+		on_first_read(en, now);
+	if (en->era.recorded_era == sto_era(en->store) ||
+	    system_watch->resyncing || en->watch_rank != 0 ||
+	    now < en->era.next_write_ms)
 		return;
 	en->era.next_write_ms = now + RECORD_RETRY_MS;
 	write_record(en);
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -31,7 +31,7 @@
 
 /* ---- Registration ---- */
 
-static void lease_lost(struct edge *en, int64_t now)
+static void drop_lease(struct edge *en, int64_t now)
 {
 	en->lease.id = 0;
 	en->lease.expires_ms = 0;
@@ -41,7 +41,7 @@
 
 void edge_lease_invalidate(struct edge *en, int64_t next_ms)
 {
-	lease_lost(en, edge_now(en));
+	drop_lease(en, edge_now(en));
 	en->lease.next_call_ms = next_ms;
 }
 
@@ -57,7 +57,7 @@
 		return;
 	}
 	if (a->outcome == STO_ABSENT)
-		lease_lost(en, now);
+		drop_lease(en, now);
 	en->lease.next_call_ms = now + LEASE_RETRY_MS;
 }
 
@@ -81,7 +81,7 @@
 	sto_call(en->store, &c, on_registered, en);
 }
 
-static void on_leased(void *arg, struct sto_answer *a)
+static void on_granted(void *arg, struct sto_answer *a)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -96,7 +96,7 @@
 	en->lease.next_call_ms = now;
 }
 
-static void on_kept(void *arg, struct sto_answer *a)
+static void on_renewed(void *arg, struct sto_answer *a)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -111,7 +111,7 @@
 		jlog_begin(en->log, JLOG_WARN, "lease_lost");
 		jlog_int(en->log, "lease", en->lease.id);
 		jlog_end(en->log);
-		lease_lost(en, now);
+		drop_lease(en, now);
 		en->lease.next_call_ms = now;
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	c.kind = en->lease.id ? STO_KEEP : STO_LEASE;
 	en->lease.call_in_flight = true;
-	sto_call(en->store, &c, en->lease.id ? on_kept : on_leased, en);
+	sto_call(en->store, &c, en->lease.id ? on_renewed : on_granted, en);
 }
 
 void edge_lease_resign(struct edge *en)
@@ -162,7 +162,7 @@
 
 static void duty_tick(struct edge *en, int64_t now)
 {
-	char mine[128];
+	char holder[128];
 	struct sto_call c = { .kind = STO_WRITE,
 			      .nr_conditions = 1,
 			      .nr_rows = 1 };
@@ -174,10 +174,10 @@
 	    !lead_try(&en->lead, edge_watch_rank(en, now), en->lease.expires_ms,
 		      now))
 		return;
-	edge_lease_format_holder(en, mine, sizeof(mine));
+	edge_lease_format_holder(en, holder, sizeof(holder));
 	c.conditions[0] = (struct sto_condition){ EDGE_DUTY_KEY,
 						  lead_expected(&en->lead) };
-	c.rows[0] = (struct sto_row){ EDGE_DUTY_KEY, mine, strlen(mine),
+	c.rows[0] = (struct sto_row){ EDGE_DUTY_KEY, holder, strlen(holder),
 				      en->lease.id };
 	sto_call(en->store, &c, on_duty_taken, en);
 }
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -11,11 +11,11 @@
 #include "edge/edge_rollout.h"
 
 /* Peers that are told in one round. */
-#define ROUND_PEERS 8
+#define PEERS_PER_ROUND 8
 
 /* With more peers each is told at least this often. */
-#define TELL_EACH_MS 600
-#define ROUND_MS 200
+#define MAX_SEND_INTERVAL_MS 600
+#define ROUND_INTERVAL_MS 200
 
 /* Datagrams read in one turn of the loop. */
 #define READ_BATCH 64
@@ -25,44 +25,44 @@
  * for so long: three rounds, of which one may be lost. The entries that keep
  * all counts are always told, since one of them orders endpoints by it.
  */
-#define JUST_MET_MS 2000
+#define NEW_PEER_MS 2000
 
 /* Time constant of the mean of the prompts that peers report as being read. */
-#define TOLD_LOAD_MS 2000.0
+#define REPORTED_LOAD_MS 2000.0
 
 /*
  * Demands elsewhere are taken as current while more than this part of the
  * entries was heard lately: with a whole zone of four lost they still are,
  * and an entry that hears nobody judges accounts by its own part alone.
  */
-#define CURRENT_PART 0.7
+#define CURRENT_SHARE 0.7
 
 /* Demands below this are not told. */
-#define MIN_DEMAND 0.01
+#define MIN_DEMAND_PER_S 0.01
 
 /* Windows of usage that are told: the present one and those before it. */
-#define TOLD_WINDOWS 3
+#define GOSSIP_WINDOWS 3
 
 /* Estimates of the time of day from peers heard within a second. */
-#define MAX_ESTIMATES 64
+#define MAX_CLOCK_ESTIMATES 64
 
 /* ---- What we tell ---- */
 
-static void say_demands(struct edge *en, struct gsp_record *r, int64_t now)
+static void fill_demands(struct edge *en, struct gsp_record *r, int64_t now)
 {
 	struct acct *a;
 	double per_s;
 
 	cds_list_for_each_entry(a, &en->accounts.accounts, node) {
 		per_s = acct_demand(a, now);
-		if (per_s < MIN_DEMAND || r->nr_demands == GSP_ACCOUNTS)
+		if (per_s < MIN_DEMAND_PER_S || r->nr_demands == GSP_ACCOUNTS)
 			continue;
 		str_copy(r->demands[r->nr_demands].account, a->name, GSP_NAME);
 		r->demands[r->nr_demands++].per_s = per_s;
 	}
 }
 
-static void say_loads(struct edge *en, struct gsp_record *r)
+static void fill_loads(struct edge *en, struct gsp_record *r)
 {
 	struct flt_endpoint *e;
 
@@ -77,7 +77,7 @@
 	}
 }
 
-static void say_services(struct edge *en, struct gsp_record *r, int64_t now)
+static void fill_services(struct edge *en, struct gsp_record *r, int64_t now)
 {
 	struct gsp_service *row;
 	struct svc *s;
@@ -92,7 +92,7 @@
 }
 
 /* True if somebody else tells the counts of this source itself. */
-static bool tells_itself(const struct edge *en, uint64_t source)
+static bool source_is_alive(const struct edge *en, uint64_t source)
 {
 	const struct prs_peer *p;
 
@@ -118,8 +118,8 @@
 	str_copy(c->account, account, GSP_NAME);
 }
 
-static void say_own(uint64_t source, int64_t window, const char *account,
-		    int64_t runs, void *arg)
+static void add_own_count(uint64_t source, int64_t window, const char *account,
+			  int64_t runs, void *arg)
 {
 	struct edge *en = arg;
 
@@ -131,12 +131,12 @@
  * What a dead process counted is passed on: an entry that started after its
  * death may be the one that reports.
  */
-static void say_of_the_dead(uint64_t source, int64_t window,
-			    const char *account, int64_t runs, void *arg)
+static void add_dead_count(uint64_t source, int64_t window, const char *account,
+			   int64_t runs, void *arg)
 {
 	struct edge *en = arg;
 
-	if (source != en->source && !tells_itself(en, source))
+	if (source != en->source && !source_is_alive(en, source))
 		add_count(&en->gossip_out, source, window, account, runs);
 }
 
@@ -145,7 +145,7 @@
 	const int64_t true_now = truth_now(&en->truth, now);
 	const int64_t age = force_age(&en->force, now);
 	const int64_t from =
-		usage_window(&en->usage, true_now) - TOLD_WINDOWS + 1;
+		usage_window(&en->usage, true_now) - GOSSIP_WINDOWS + 1;
 
 	gsp_clear(r);
 	str_copy(r->name, en->conf->name, GSP_NAME);
@@ -159,23 +159,23 @@
 	r->cfg_version = en->force.cfg ? en->force.cfg->version : 0;
 	r->fresh_age_ms = age == INT64_MAX ? -1 : age;
 	r->requests_per_s = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
-	say_demands(en, r, now);
-	say_loads(en, r);
-	say_services(en, r, now);
+	fill_demands(en, r, now);
+	fill_loads(en, r);
+	fill_services(en, r, now);
 	edge_fatal_fill_gossip(en, r, now);
-	edge_rollout_say(en, r, now);
+	edge_rollout_fill_gossip(en, r, now);
 	/* Our own first: nobody else tells them. */
-	usage_each(&en->usage, from, say_own, en);
-	usage_each(&en->usage, from, say_of_the_dead, en);
+	usage_each(&en->usage, from, add_own_count, en);
+	usage_each(&en->usage, from, add_dead_count, en);
 }
 
 /* Old news that is repeated in each datagram to those that had it. */
-#define REPEATED_FATAL 2
+#define REPEATED_SUSPECTS 2
 
 /* It may have started just now, and know nothing of the endpoints. */
-static bool just_met(const struct prs_peer *p, int64_t now)
+static bool is_new_peer(const struct prs_peer *p, int64_t now)
 {
-	return now - p->met_ms < JUST_MET_MS;
+	return now - p->met_ms < NEW_PEER_MS;
 }
 
 static void send_to(struct edge *en, const struct prs_peer *p, int64_t now)
@@ -191,10 +191,11 @@
 	en->gossip_out.with_counts = p->keeps_counts;
 	if (!p->keeps_counts)
 		en->gossip_out.nr_counts = en->gossip_out.nr_tallies = 0;
-	if (!p->keeps_counts && !just_met(p, now))
+	if (!p->keeps_counts && !is_new_peer(p, now))
 		en->gossip_out.nr_services = 0;
-	if (!just_met(p, now) && fatal > en->nr_fatal_news + REPEATED_FATAL)
-		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_FATAL;
+	if (!is_new_peer(p, now) &&
+	    fatal > en->nr_fatal_news + REPEATED_SUSPECTS)
+		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_SUSPECTS;
 	/* Long names may not fit: then less is told. */
 	while (!(n = gsp_encode(&en->gossip_out, bytes, sizeof(bytes))) &&
 	       en->gossip_out.nr_counts + en->gossip_out.nr_loads) {
@@ -212,16 +213,17 @@
 	en->gossip_out.nr_tallies = tallies;
 }
 
-static void tell_round(struct edge *en, int64_t now)
+static void send_round(struct edge *en, int64_t now)
 {
-	size_t want = ROUND_PEERS, i = 0;
+	size_t want = PEERS_PER_ROUND, i = 0;
 	const size_t n = en->prs.count;
 	struct prs_peer *p;
 
 	if (!n)
 		return;
-	if (n * ROUND_MS > want * TELL_EACH_MS)
-		want = (n * ROUND_MS + TELL_EACH_MS - 1) / TELL_EACH_MS;
+	if (n * ROUND_INTERVAL_MS > want * MAX_SEND_INTERVAL_MS)
+		want = (n * ROUND_INTERVAL_MS + MAX_SEND_INTERVAL_MS - 1) /
+		       MAX_SEND_INTERVAL_MS;
 	fill_record(en, &en->gossip_out, now);
 	edge_mark_count_keepers(en, now);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
@@ -248,10 +250,10 @@
 	send_to(en, p, now);
 }
 
-/* ---- What we hear ---- */
+/* ---- What we apply_record ---- */
 
 /* Of services that the configuration names, so that others cost nothing. */
-static void learn_told(struct edge *en, const struct svc_told *told)
+static void adopt_model(struct edge *en, const struct svc_told *told)
 {
 	const struct cfg *c = en->force.cfg;
 	size_t i;
@@ -265,7 +267,8 @@
 	}
 }
 
-static void hear(struct edge *en, const struct gsp_record *r, int64_t now)
+static void apply_record(struct edge *en, const struct gsp_record *r,
+			 int64_t now)
 {
 	struct prs_peer *p =
 		prs_heard(&en->prs, r, now, truth_now(&en->truth, now));
@@ -281,9 +284,10 @@
 			    r->counts[i].window, r->counts[i].account,
 			    r->counts[i].runs);
 	for (i = 0; i < r->nr_services; i++)
-		learn_told(en, &r->services[i].told);
+		adopt_model(en, &r->services[i].told);
 	edge_fatal_apply_gossip(en, r, now);
-	edge_rollout_hear(en, edge_source(p->info.name, p->boot), r, now);
+	edge_rollout_apply_gossip(en, edge_source(p->info.name, p->boot), r,
+				  now);
 	at = prs_confirmed_at(r, en->boot);
 	if (at)
 		force_confirm(&en->force, r->cfg_version, at);
@@ -303,7 +307,7 @@
 		if (n < 0)
 			return;
 		if (gsp_decode(&en->gossip_in, bytes, (size_t)n))
-			hear(en, &en->gossip_in, edge_now(en));
+			apply_record(en, &en->gossip_in, edge_now(en));
 	}
 }
 
@@ -332,8 +336,9 @@
 		}
 	}
 	t->entries = prs_sharing(&en->prs, now);
-	t->current = alive + 1 > t->entries * CURRENT_PART;
-	t->told_ms = en->prs.count > ROUND_PEERS ? TELL_EACH_MS : ROUND_MS;
+	t->current = alive + 1 > t->entries * CURRENT_SHARE;
+	t->told_ms = en->prs.count > PEERS_PER_ROUND ? MAX_SEND_INTERVAL_MS
+						     : ROUND_INTERVAL_MS;
 	acct_tick(t, now);
 }
 
@@ -345,15 +350,15 @@
  */
 static void smooth_loads(struct edge *en, int64_t now)
 {
-	const double left =
-		en->conf->policy.mean_reports
-			? fade_left(TOLD_LOAD_MS, en->loads_averaged_ms, now)
-			: 0;
+	const double decay = en->conf->policy.mean_reports
+				     ? fade_left(REPORTED_LOAD_MS,
+						 en->loads_averaged_ms, now)
+				     : 0;
 	struct flt_endpoint *e;
 
 	en->loads_averaged_ms = now;
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
-		flt_smooth_peer_prefill(e, left);
+		flt_smooth_peer_prefill(e, decay);
 }
 
 void edge_peer_sum_loads(struct edge *en, int64_t now)
@@ -384,16 +389,16 @@
 
 static void compare_clocks(struct edge *en, int64_t now)
 {
-	int64_t ahead[MAX_ESTIMATES + 1] = { 0 };
+	int64_t offsets[MAX_CLOCK_ESTIMATES + 1] = { 0 };
 	struct prs_peer *p;
 	size_t n = 1;
 	int64_t by;
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
-		if (n <= MAX_ESTIMATES && prs_alive(p, now))
-			ahead[n++] = p->ahead_ms;
+		if (n <= MAX_CLOCK_ESTIMATES && prs_alive(p, now))
+			offsets[n++] = p->ahead_ms;
 	}
-	by = truth_compare(&en->truth, ahead, n);
+	by = truth_compare(&en->truth, offsets, n);
 	if (!by)
 		return;
 	/* What was heard is judged anew by the next datagrams. */
@@ -422,7 +427,7 @@
 
 void edge_peer_tick(struct edge *en, int64_t now)
 {
-	tell_round(en, now);
+	send_round(en, now);
 	en->sending_peers = count_sending_peers(en, now);
 	en->watch_rank = edge_watch_rank(en, now);
 	edge_peer_sum_demands(en, now);
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -1,5 +1,5 @@
 /* Which entries do what only some of them should: watch the store, keep all
- * counts, be named to callers. */
+ * counts, be nr_advertised to callers. */
 #include <assert.h>
 #include <string.h>
 
@@ -11,12 +11,12 @@
  * dead entry counted is lost only if these and the holder die with it. Told
  * to all, counts were three quarters of the bytes between entries.
  */
-#define KEEPERS 3
+#define NR_COUNT_KEEPERS 3
 
 /* ---- Watching the store ---- */
 
 /* How many of those that are ranked watch the store. */
-static size_t watchers(const struct edge *en)
+static size_t nr_watchers(const struct edge *en)
 {
 	const size_t n = feed_watchers((unsigned)en->ranking.n);
 
@@ -33,7 +33,7 @@
 		if (prs_alive(p, now) && p->store_ok && p->taking)
 			rank_add(&en->ranking, p->info.name, p->info.zone, p);
 	}
-	rank_first(&en->ranking, watchers(en));
+	rank_first(&en->ranking, nr_watchers(en));
 }
 
 int edge_watch_rank(struct edge *en, int64_t now)
@@ -41,7 +41,7 @@
 	size_t i;
 
 	rank_watchers(en, now);
-	for (i = 0; i < watchers(en); i++) {
+	for (i = 0; i < nr_watchers(en); i++) {
 		if (!en->ranking.rows[i].entry)
 			return (int)i;
 	}
@@ -54,7 +54,7 @@
 
 	if (edge_watch_rank(en, now) >= 0)
 		return NULL;
-	n = watchers(en);
+	n = nr_watchers(en);
 	assert(n);
 	return rank_of_key(&en->ranking, n, en->source)->entry;
 }
@@ -72,16 +72,16 @@
 		if (prs_alive(p, now))
 			rank_add(&en->ranking, p->info.name, p->info.zone, p);
 	}
-	rank_first(&en->ranking, KEEPERS);
-	for (i = 0; i < en->ranking.n && i < KEEPERS; i++) {
+	rank_first(&en->ranking, NR_COUNT_KEEPERS);
+	for (i = 0; i < en->ranking.n && i < NR_COUNT_KEEPERS; i++) {
 		p = en->ranking.rows[i].entry;
 		p->keeps_counts = true;
 	}
 }
 
-/* ---- Being named to callers ---- */
+/* ---- Being nr_advertised to callers ---- */
 
-static double load_of_all(const struct edge *en, int64_t now)
+static double total_request_rate(const struct edge *en, int64_t now)
 {
 	const struct prs_peer *p;
 	double sum = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
@@ -93,7 +93,8 @@
 	return sum;
 }
 
-static const char *address_of(const struct edge *en, const struct rank_row *row)
+static const char *callers_address(const struct edge *en,
+				   const struct rank_row *row)
 {
 	const struct prs_peer *p = row->entry;
 
@@ -101,8 +102,8 @@
 }
 
 /* If no entry is heard the cut may be ours: then all that are registered. */
-static size_t all_registered(const struct edge *en, const char **out,
-			     size_t max)
+static size_t registered_addresses(const struct edge *en, const char **out,
+				   size_t max)
 {
 	const struct prs_peer *p;
 	size_t n = 0;
@@ -119,7 +120,7 @@
 {
 	struct rank *r = &en->ranking;
 	struct prs_peer *p;
-	size_t named, first, n;
+	size_t nr_advertised, first, n;
 
 	rank_init(r, RANK_NAME);
 	if (edge_is_ready(en))
@@ -129,12 +130,15 @@
 			rank_add(r, p->info.name, p->info.zone, p);
 	}
 	if (!r->n)
-		return all_registered(en, out, max);
+		return registered_addresses(en, out, max);
 	rank_spread(r);
-	named = named_count(load_of_all(en, now), r->n);
+	nr_advertised = named_count(total_request_rate(en, now), r->n);
 	/* Of more than fit into an answer each answer has others. */
-	first = named > max ? rnd_below(&en->rnd, (uint32_t)named) : 0;
-	for (n = 0; n < named && n < max; n++)
-		out[n] = address_of(en, &r->rows[(first + n) % named]);
+	first = nr_advertised > max
+			? rnd_below(&en->rnd, (uint32_t)nr_advertised)
+			: 0;
+	for (n = 0; n < nr_advertised && n < max; n++)
+		out[n] = callers_address(en,
+					 &r->rows[(first + n) % nr_advertised]);
 	return n;
 }
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -18,13 +18,13 @@
 #define MAX_RECORD_AGE_MS 4500
 
 /* Minimum interval between immediate reports of bad answers to the holder. */
-#define MIN_TELL_INTERVAL_MS 100
+#define MIN_NOTIFY_INTERVAL_MS 100
 
-/* How long a roll-back is repeated to other entries. */
+/* How long a roll-rolled_back is repeated to other entries. */
 #define REPEAT_ROLLED_BACK_MS 60000
 
 /* Maximum endpoints of the target considered for a trial. */
-#define MAX_ENDPOINTS 1024
+#define MAX_TRIAL_CANDIDATES 1024
 
 /* Interval at which the endpoints of a trial are selected again. */
 #define USE_UPDATE_INTERVAL_MS 500
@@ -76,7 +76,8 @@
 
 /* ---- Endpoints ---- */
 
-static bool is_of(const struct edge_rollout *ro, const struct flt_endpoint *e)
+static bool belongs_to(const struct edge_rollout *ro,
+		       const struct flt_endpoint *e)
 {
 	return !strcmp(e->info.service, ro->service);
 }
@@ -92,10 +93,10 @@
 		return;
 	if (ro->established[0] &&
 	    (en->watches[EDGE_WATCH_ENDPOINTS].mirror.whole ||
-	     e->info.started_ms >= ro->established_born_ms))
+	     e->info.started_ms >= ro->established_started_ms))
 		return;
 	str_copy(ro->established, e->info.version, sizeof(ro->established));
-	ro->established_born_ms = e->info.started_ms;
+	ro->established_started_ms = e->info.started_ms;
 }
 
 static int by_weight(const void *a, const void *b)
@@ -112,13 +113,13 @@
 static uint64_t min_trial_weight(const struct edge *en,
 				 const struct edge_rollout *ro)
 {
-	uint64_t weights[MAX_ENDPOINTS];
+	uint64_t weights[MAX_TRIAL_CANDIDATES];
 	const uint64_t order = rol_order_id(&ro->record);
 	const struct flt_endpoint *e;
 	unsigned n = 0, chosen;
 
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
-		if (is_of(ro, e) && n < MAX_ENDPOINTS &&
+		if (belongs_to(ro, e) && n < MAX_TRIAL_CANDIDATES &&
 		    !e->draining_since_ms && !e->exited &&
 		    !strcmp(e->info.version, ro->record.target))
 			weights[n++] = hsh_rendezvous(order, e->hash);
@@ -151,14 +152,14 @@
 	ro->uses_outdated = false;
 	ro->uses_updated_ms = edge_now(en);
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
-		if (is_of(ro, e))
+		if (belongs_to(ro, e))
 			set_use(en, ro, e,
 				trial && hsh_rendezvous(order, e->hash) >=
 						 min_weight);
 	}
 }
 
-void edge_rollout_listed(struct edge *en, struct flt_endpoint *e)
+void edge_rollout_endpoint_listed(struct edge *en, struct flt_endpoint *e)
 {
 	struct edge_rollout *ro;
 
@@ -206,19 +207,19 @@
 void edge_rollout_apply(struct edge *en, struct edge_rollout *ro,
 			const struct rol_record *next)
 {
-	const bool another = !ro->recorded || ro->record.order != next->order;
+	const bool is_new = !ro->recorded || ro->record.order != next->order;
 
 	ro->record = *next;
 	ro->recorded = true;
-	if (another)
+	if (is_new)
 		tal_begin(&ro->own, rol_order_id(next));
-	if (another || !rol_in_progress(next))
+	if (is_new || !rol_in_progress(next))
 		clear_peer_tallies(ro);
 	log_record(en, ro);
 	update_uses(en, ro);
 }
 
-/* True for an outdated record that would revert a roll-back. */
+/* True for an outdated record that would revert a roll-rolled_back. */
 static bool is_outdated(const struct edge_rollout *ro,
 			const struct rol_record *r)
 {
@@ -227,8 +228,8 @@
 	       r->stage != ROL_ROLLED_BACK;
 }
 
-void edge_rollout_recorded(struct edge *en, const char *key, const char *value,
-			   size_t len, int64_t version)
+void edge_rollout_record_seen(struct edge *en, const char *key,
+			      const char *value, size_t len, int64_t version)
 {
 	struct edge_rollout *ro =
 		edge_rollout_of(en, key + strlen(EDGE_ROLLOUT_PREFIX));
@@ -242,13 +243,13 @@
 	if (ro->recorded && version <= ro->record_version)
 		return;
 	ro->record_version = version;
-	/* A roll-back received by datagram may be missing from the store. */
+	/* A roll-rolled_back received by datagram may be missing from the store. */
 	ro->unwritten = is_outdated(ro, &r);
 	if (!ro->unwritten)
 		edge_rollout_apply(en, ro, &r);
 }
 
-void edge_rollout_unrecorded(struct edge *en, const char *key)
+void edge_rollout_record_deleted(struct edge *en, const char *key)
 {
 	struct edge_rollout *ro = find(en, key + strlen(EDGE_ROLLOUT_PREFIX));
 
@@ -305,13 +306,13 @@
 	tal_sent(&ro->own, r->tally.route, r->tally.group);
 }
 
-/* Reports bad answers at once, so that the holder can roll back. */
-static void tell_holder(struct edge *en)
+/* Reports bad answers at once, so that the holder can roll rolled_back. */
+static void notify_holder(struct edge *en)
 {
 	const int64_t now = edge_now(en);
 	const struct prs_peer *p = prs_find(&en->prs, en->duty_holder);
 
-	if (!p || now - en->rollout_reported_ms < MIN_TELL_INTERVAL_MS)
+	if (!p || now - en->rollout_reported_ms < MIN_NOTIFY_INTERVAL_MS)
 		return;
 	en->rollout_reported_ms = now;
 	edge_peer_send(en, p, now);
@@ -328,7 +329,7 @@
 		return;
 	tal_answered(&ro->own, r->tally.route, r->tally.group, o);
 	if (o != TAL_GOOD && r->tally.group != TAL_BASELINE)
-		tell_holder(r->en);
+		notify_holder(r->en);
 }
 
 void edge_rollout_answered(struct edge_req *r)
@@ -351,7 +352,7 @@
 
 /* ---- Other entries ---- */
 
-static void say_tally(const struct edge_rollout *ro, struct gsp_record *out)
+static void fill_tally(const struct edge_rollout *ro, struct gsp_record *out)
 {
 	unsigned i;
 
@@ -364,13 +365,14 @@
 		};
 }
 
-void edge_rollout_say(struct edge *en, struct gsp_record *out, int64_t now)
+void edge_rollout_fill_gossip(struct edge *en, struct gsp_record *out,
+			      int64_t now)
 {
 	const int64_t true_now = truth_now(&en->truth, now);
 	const struct edge_rollout *ro;
 
 	cds_list_for_each_entry(ro, &en->rollouts, node) {
-		say_tally(ro, out);
+		fill_tally(ro, out);
 		if (ro->recorded && ro->record.stage == ROL_ROLLED_BACK &&
 		    true_now - ro->record.changed_ms < REPEAT_ROLLED_BACK_MS &&
 		    out->nr_rolled_back < GSP_ROLLED_BACK)
@@ -381,8 +383,8 @@
 
 /* The expanded uthash macros count as about fifty statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
-static struct edge_peer_tally *peer_tally(struct edge_rollout *ro,
-					  uint64_t source)
+static struct edge_peer_tally *get_peer_tally(struct edge_rollout *ro,
+					      uint64_t source)
 {
 	struct edge_peer_tally *t;
 
@@ -396,8 +398,8 @@
 	return t;
 }
 
-static void hear_tallies(struct edge_rollout *ro, uint64_t source,
-			 const struct gsp_record *r)
+static void apply_tallies(struct edge_rollout *ro, uint64_t source,
+			  const struct gsp_record *r)
 {
 	struct edge_peer_tally *t = NULL;
 	unsigned i;
@@ -406,7 +408,7 @@
 		if (r->tallies[i].order != ro->own.order)
 			continue;
 		if (!t) {
-			t = peer_tally(ro, source);
+			t = get_peer_tally(ro, source);
 			t->tally.nr_rows = 0;
 		}
 		tal_add(&t->tally, &r->tallies[i].row, 1);
@@ -414,26 +416,26 @@
 }
 
 /* Roll-backs are also sent by datagram: the store may be unavailable. */
-static void hear_rolled_back(struct edge *en, struct edge_rollout *ro,
-			     const struct gsp_record *r, int64_t now)
+static void apply_rolled_back(struct edge *en, struct edge_rollout *ro,
+			      const struct gsp_record *r, int64_t now)
 {
-	struct rol_record back = ro->record;
+	struct rol_record rolled_back = ro->record;
 	unsigned i;
 
 	for (i = 0; i < r->nr_rolled_back; i++) {
 		if (r->rolled_back[i] != rol_order_id(&ro->record))
 			continue;
-		rol_roll_back(&back, "another entry told",
+		rol_roll_back(&rolled_back, "another entry told",
 			      truth_now(&en->truth, now));
-		edge_rollout_apply(en, ro, &back);
+		edge_rollout_apply(en, ro, &rolled_back);
 		/* The sender may have exited before writing the record. */
 		ro->unwritten = true;
 		return;
 	}
 }
 
-void edge_rollout_hear(struct edge *en, uint64_t source,
-		       const struct gsp_record *r, int64_t now)
+void edge_rollout_apply_gossip(struct edge *en, uint64_t source,
+			       const struct gsp_record *r, int64_t now)
 {
 	struct edge_rollout *ro;
 
@@ -442,14 +444,14 @@
 	cds_list_for_each_entry(ro, &en->rollouts, node) {
 		if (!ro->recorded || !rol_in_progress(&ro->record))
 			continue;
-		hear_tallies(ro, source, r);
-		hear_rolled_back(en, ro, r, now);
+		apply_tallies(ro, source, r);
+		apply_rolled_back(en, ro, r, now);
 	}
 }
 
 /* ---- Plans ---- */
 
-bool edge_rollout_shifting(const struct edge *en, const char *service)
+bool edge_rollout_is_shifting(const struct edge *en, const char *service)
 {
 	const struct edge_rollout *ro = find(en, service);
 
@@ -458,7 +460,8 @@
 		ro->record.stage == ROL_HAND_OVER);
 }
 
-bool edge_rollout_stopping(const struct edge *en, const struct flt_endpoint *e)
+bool edge_rollout_is_replaced(const struct edge *en,
+			      const struct flt_endpoint *e)
 {
 	const struct edge_rollout *ro = find(en, e->info.service);
 
--- a/lib/edge/edge_rollout.h
+++ b/lib/edge/edge_rollout.h
@@ -16,17 +16,17 @@
 /* ---- Store events ---- */
 
 /* An operator's order; only the holder of the duties watches these. */
-void edge_rollout_ordered(struct edge *en, const char *key, const char *value,
-			  size_t len, int64_t version);
-void edge_rollout_withdrawn(struct edge *en, const char *key);
+void edge_rollout_order_seen(struct edge *en, const char *key,
+			     const char *value, size_t len, int64_t version);
+void edge_rollout_order_deleted(struct edge *en, const char *key);
 
 /* The record of a service. */
-void edge_rollout_recorded(struct edge *en, const char *key, const char *value,
-			   size_t len, int64_t version);
-void edge_rollout_unrecorded(struct edge *en, const char *key);
+void edge_rollout_record_seen(struct edge *en, const char *key,
+			      const char *value, size_t len, int64_t version);
+void edge_rollout_record_deleted(struct edge *en, const char *key);
 
 /* An endpoint was listed: sets which requests it gets. */
-void edge_rollout_listed(struct edge *en, struct flt_endpoint *e);
+void edge_rollout_endpoint_listed(struct edge *en, struct flt_endpoint *e);
 
 /* ---- Requests ---- */
 
@@ -44,16 +44,18 @@
 
 /* ---- Other entries ---- */
 
-void edge_rollout_say(struct edge *en, struct gsp_record *out, int64_t now);
-void edge_rollout_hear(struct edge *en, uint64_t source,
-		       const struct gsp_record *r, int64_t now);
+void edge_rollout_fill_gossip(struct edge *en, struct gsp_record *out,
+			      int64_t now);
+void edge_rollout_apply_gossip(struct edge *en, uint64_t source,
+			       const struct gsp_record *r, int64_t now);
 
 /* ---- Plans ---- */
 
 /* True during a shift of all traffic, which suspends scaling. */
-bool edge_rollout_shifting(const struct edge *en, const char *service);
+bool edge_rollout_is_shifting(const struct edge *en, const char *service);
 
 /* True if the endpoint's version was replaced; the platform stops it. */
-bool edge_rollout_stopping(const struct edge *en, const struct flt_endpoint *e);
+bool edge_rollout_is_replaced(const struct edge *en,
+			      const struct flt_endpoint *e);
 
 #endif
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -6,7 +6,7 @@
 #include "edge/edge_rollout_internal.h"
 
 /* Time until all entries have sent their counts twice to a new holder. */
-#define SETTLED_MS 1500
+#define COUNTS_SETTLE_MS 1500
 
 /* Minimum delay before the next write. */
 #define WRITE_RETRY_MS 250
@@ -122,12 +122,12 @@
 
 	str_copy(r.service, ro->service, sizeof(r.service));
 	str_copy(r.target, ro->order.target, sizeof(r.target));
-	str_copy(r.why, ro->order_fault, sizeof(r.why));
+	str_copy(r.why, ro->order_error, sizeof(r.why));
 	ro->refused_version = ro->order.version;
 	jlog_begin(en->log, JLOG_WARN, "rollout_refused");
 	jlog_str(en->log, "service", ro->service);
 	jlog_str(en->log, "target", ro->order.target);
-	jlog_str(en->log, "why", ro->order_fault);
+	jlog_str(en->log, "why", ro->order_error);
 	jlog_end(en->log);
 	en->wire->encode_rollout_status(&r, &key, &value);
 	c.conditions[0] =
@@ -189,8 +189,8 @@
 
 /* Applies ro->next locally and sends it to other entries through the store, and
  * roll-backs by datagram too. */
-static void carry_out(struct edge *en, struct edge_rollout *ro,
-		      const struct rol_observation *s, int64_t now)
+static void carry_out_step(struct edge *en, struct edge_rollout *ro,
+			   const struct rol_observation *s, int64_t now)
 {
 	const struct rol_record next = ro->next;
 
@@ -198,7 +198,7 @@
 	count_end(en, &next);
 	edge_rollout_apply(en, ro, &next);
 	if (next.stage == ROL_COMPLETED)
-		edge_scale_forget_service(en->duty, ro->service);
+		edge_scale_reset_orders(en->duty, ro->service);
 	write_record(en, ro, now);
 	if (next.stage == ROL_ROLLED_BACK)
 		edge_peer_broadcast(en, now);
@@ -210,14 +210,14 @@
 			     const struct rol_observation *s, int64_t now)
 {
 	if (!sums->unordered || ro->ordered) {
-		ro->unordered_ms = 0;
+		ro->unordered_since_ms = 0;
 		return false;
 	}
-	if (!ro->unordered_ms)
-		ro->unordered_ms = now;
-	if (now - ro->unordered_ms < UNORDERED_DELAY_MS)
+	if (!ro->unordered_since_ms)
+		ro->unordered_since_ms = now;
+	if (now - ro->unordered_since_ms < UNORDERED_DELAY_MS)
 		return false;
-	ro->unordered_ms = 0;
+	ro->unordered_since_ms = 0;
 	memset(&ro->next, 0, sizeof(ro->next));
 	str_copy(ro->next.service, ro->service, sizeof(ro->next.service));
 	str_copy(ro->next.from, s->established, sizeof(ro->next.from));
@@ -240,7 +240,7 @@
 	};
 
 	ro->next = ro->record;
-	if (ro->ordered && ro->order_sound &&
+	if (ro->ordered && ro->order_valid &&
 	    (!ro->recorded || !rol_matches_order(&ro->record, &ro->order))) {
 		rol_begin(&ro->next, &ro->order, s);
 		return true;
@@ -264,11 +264,11 @@
 /* Refuses orders for services that are not configured. */
 static void check_order(struct edge *en, struct edge_rollout *ro)
 {
-	if (!ro->order_sound || knows_service(en, ro->service))
+	if (!ro->order_valid || knows_service(en, ro->service))
 		return;
-	ro->order_sound = false;
-	str_copy(ro->order_fault, "the configuration has no such service",
-		 sizeof(ro->order_fault));
+	ro->order_valid = false;
+	str_copy(ro->order_error, "the configuration has no such service",
+		 sizeof(ro->order_error));
 }
 
 void edge_rollout_decide(struct edge *en, struct edge_rollout *ro, int64_t now)
@@ -282,7 +282,7 @@
 		return;
 	if (ro->ordered && en->force.cfg)
 		check_order(en, ro);
-	if (ro->ordered && !ro->order_sound &&
+	if (ro->ordered && !ro->order_valid &&
 	    ro->refused_version != ro->order.version) {
 		refuse_order(en, ro, now);
 		return;
@@ -300,30 +300,30 @@
 	if (ro->recorded && rol_in_progress(&ro->record))
 		sum_counts(ro, &counts);
 	s.now_ms = truth_now(&en->truth, now);
-	s.counts_complete = now - en->lead.since_ms >= SETTLED_MS;
+	s.counts_complete = now - en->lead.since_ms >= COUNTS_SETTLE_MS;
 	s.target_endpoints = sums.in_target;
 	s.required_endpoints =
 		required_endpoints(en, ro->service, sums.in_from);
 	s.former_running = sums.former_running;
 	s.established = edge_rollout_serving(ro);
 	if (decide(en, ro, &sums, &s, now))
-		carry_out(en, ro, &s, now);
+		carry_out_step(en, ro, &s, now);
 }
 
 /* ---- Orders ---- */
 
-void edge_rollout_ordered(struct edge *en, const char *key, const char *value,
-			  size_t len, int64_t version)
+void edge_rollout_order_seen(struct edge *en, const char *key,
+			     const char *value, size_t len, int64_t version)
 {
 	struct edge_rollout *ro =
 		edge_rollout_of(en, key + strlen(en->wire->rollout_prefix));
 	struct err e = ERR_INIT;
 
 	ro->ordered = true;
-	ro->order_sound =
+	ro->order_valid =
 		en->wire->decode_rollout(key, value, len, &ro->order, &e) == 0;
 	ro->order.version = version;
-	str_copy(ro->order_fault, e.text, sizeof(ro->order_fault));
+	str_copy(ro->order_error, e.text, sizeof(ro->order_error));
 	jlog_begin(en->log, JLOG_INFO, "rollout_ordered");
 	jlog_str(en->log, "service", ro->service);
 	jlog_str(en->log, "target", ro->order.target);
@@ -333,7 +333,7 @@
 	edge_rollout_decide(en, ro, edge_now(en));
 }
 
-void edge_rollout_withdrawn(struct edge *en, const char *key)
+void edge_rollout_order_deleted(struct edge *en, const char *key)
 {
 	/* After a restore of the store, operators write lost orders again. */
 	if (en->watches[EDGE_WATCH_ROLLOUTS].resyncing)
--- a/lib/edge/edge_rollout_internal.h
+++ b/lib/edge/edge_rollout_internal.h
@@ -17,9 +17,9 @@
 struct edge_rollout {
 	struct cds_list_head node; /* in edge.rollouts */
 	char service[FLT_NAME];
-	char established[FLT_NAME];  /* version that serves; "": none listed */
-	int64_t established_born_ms; /* start of its first endpoint */
-	bool uses_outdated;	     /* listed endpoints await an update */
+	char established[FLT_NAME]; /* version that serves; "": none listed */
+	int64_t established_started_ms; /* start of its first endpoint */
+	bool uses_outdated;		/* listed endpoints await an update */
 	int64_t uses_updated_ms;
 	bool recorded;
 	struct rol_record record;
@@ -30,11 +30,11 @@
 
 	/* Used by the holder of the duties only. */
 	bool ordered;
-	bool order_sound;
+	bool order_valid;
 	struct rol_order order;
-	char order_fault[ROL_WHY];
+	char order_error[ROL_WHY];
 	int64_t refused_version; /* of the last order refused */
-	int64_t unordered_ms; /* when a version without an order was first listed */
+	int64_t unordered_since_ms; /* when a version without an order was first listed */
 	bool writing;
 	int64_t next_write_ms; /* no write before this time */
 	struct rol_record next;
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -8,17 +8,18 @@
 #include "edge/edge_rollout.h"
 
 /* Granted endpoints count as missing this long after their start-up time. */
-#define ORDER_EXTRA_MS 1000
+#define START_MARGIN_MS 1000
 
 /* A zone without capacity is not asked again before. */
-#define DRY_MS 2500
+#define NO_CAPACITY_RETRY_MS 2500
 
 /* ---- Orders ---- */
 
-static struct edge_order *order_of(struct edge_duty *d, const char *service,
-				   const char *zone, bool reclaimable)
+static struct edge_scale_order *get_order(struct edge_duty *d,
+					  const char *service, const char *zone,
+					  bool reclaimable)
 {
-	struct edge_order *o;
+	struct edge_scale_order *o;
 	size_t i;
 
 	for (i = 0; i < d->nr_orders; i++) {
@@ -34,27 +35,27 @@
 	str_copy(o->service, service, sizeof(o->service));
 	str_copy(o->zone, zone, sizeof(o->zone));
 	o->reclaimable = reclaimable;
-	o->number = -1;
+	o->accepted_number = -1;
 	return o;
 }
 
-static struct edge_scaled *scaled_of(struct edge_duty *d, const char *service,
-				     int64_t now)
+static struct edge_plan *get_plan(struct edge_duty *d, const char *service,
+				  int64_t now)
 {
 	const struct carry_row *before;
-	struct edge_scaled *row;
+	struct edge_plan *row;
 	size_t i;
 
-	for (i = 0; i < d->nr_scaled; i++) {
-		if (!strcmp(d->scaled[i].service, service))
-			return &d->scaled[i];
+	for (i = 0; i < d->nr_plans; i++) {
+		if (!strcmp(d->plans[i].service, service))
+			return &d->plans[i];
 	}
-	d->scaled = realloc(d->scaled, (d->nr_scaled + 1) * sizeof(*row));
-	assert(d->scaled);
-	row = &d->scaled[d->nr_scaled++];
+	d->plans = realloc(d->plans, (d->nr_plans + 1) * sizeof(*row));
+	assert(d->plans);
+	row = &d->plans[d->nr_plans++];
 	memset(row, 0, sizeof(*row));
 	str_copy(row->service, service, sizeof(row->service));
-	row->eased_ms = now;
+	row->firm_held_ms = now;
 	/* The former holder's plan, from the store. */
 	before = d->en->conf->policy.carry_plan
 			 ? carry_find(&d->en->plan, service)
@@ -73,24 +74,24 @@
 	return row;
 }
 
-void edge_scale_forget(struct edge_duty *d)
+void edge_scale_reset(struct edge_duty *d)
 {
 	free(d->orders);
-	free(d->scaled);
+	free(d->plans);
 	d->orders = NULL;
-	d->scaled = NULL;
+	d->plans = NULL;
 	d->nr_orders = 0;
-	d->nr_scaled = 0;
-	d->order = NULL;
+	d->nr_plans = 0;
+	d->order_in_flight = NULL;
 }
 
-void edge_scale_forget_service(struct edge_duty *d, const char *service)
+void edge_scale_reset_orders(struct edge_duty *d, const char *service)
 {
 	size_t i;
 
 	for (i = 0; i < d->nr_orders; i++) {
 		if (!strcmp(d->orders[i].service, service))
-			d->orders[i].number = -1;
+			d->orders[i].accepted_number = -1;
 	}
 }
 
@@ -98,14 +99,14 @@
 {
 	size_t i;
 
-	for (i = 0; i < d->nr_scaled; i++) {
-		if (!strcmp(d->scaled[i].service, service))
-			return d->scaled[i].need.need;
+	for (i = 0; i < d->nr_plans; i++) {
+		if (!strcmp(d->plans[i].service, service))
+			return d->plans[i].need.need;
 	}
 	return 0;
 }
 
-static void send_order(struct edge_duty *d, struct edge_order *o,
+static void send_order(struct edge_duty *d, struct edge_scale_order *o,
 		       const struct scale_zone *z, int number)
 {
 	struct edge *en = d->en;
@@ -113,7 +114,7 @@
 	const int64_t now = edge_now(en);
 	struct buf wire = BUF_INIT;
 
-	if (!edge_duty_may_act(en) || d->calling)
+	if (!edge_duty_may_act(en) || d->call_in_flight)
 		return;
 	/* Orders include the endpoints of all versions. */
 	en->wire->encode_scale(&w, o->service, o->zone, o->reclaimable,
@@ -121,14 +122,14 @@
 						 ? z->spot_other_version
 						 : z->firm_other_version),
 			       &wire);
-	d->order = o;
-	d->order_number = number;
+	d->order_in_flight = o;
+	d->ordered_number = number;
 	met_inc(en->m.scale_orders);
 	jlog_begin(en->log, JLOG_INFO, "order");
 	jlog_str(en->log, "service", o->service);
 	jlog_str(en->log, "zone", o->zone);
 	jlog_bool(en->log, "reclaimable", o->reclaimable);
-	jlog_int(en->log, "before", o->number);
+	jlog_int(en->log, "before", o->accepted_number);
 	jlog_int(en->log, "number", number);
 	jlog_int(en->log, "there", o->reclaimable ? z->spot : z->firm);
 	jlog_int(en->log, "apart",
@@ -137,34 +138,35 @@
 	jlog_int(en->log, "starting",
 		 o->reclaimable ? z->spot_coming : z->firm_coming);
 	jlog_int(en->log, "beside", o->reclaimable ? z->firm : z->spot);
-	jlog_num(en->log, "need", scaled_of(d, o->service, now)->need.need);
+	jlog_num(en->log, "need", get_plan(d, o->service, now)->need.need);
 	jlog_int(en->log, "fence", en->lead.fence);
 	jlog_end(en->log);
-	d->ordering = edge_duty_call(d, &wire);
-	if (!d->ordering)
-		d->order = NULL;
+	d->call_is_order = edge_duty_call(d, &wire);
+	if (!d->call_is_order)
+		d->order_in_flight = NULL;
 }
 
-void edge_scale_ended(struct edge_duty *d, int status)
+void edge_scale_order_ended(struct edge_duty *d, int status)
 {
-	struct edge_order *o = d->order;
+	struct edge_scale_order *o = d->order_in_flight;
 	const int64_t now = edge_now(d->en);
 
-	d->order = NULL;
+	d->order_in_flight = NULL;
 	if (!o)
 		return;
 	if (status == 200) {
-		o->number = d->order_number;
+		o->accepted_number = d->ordered_number;
 		o->accepted_ms = now;
 		return;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "order_refused");
 	jlog_str(d->en->log, "zone", o->zone);
 	jlog_bool(d->en->log, "reclaimable", o->reclaimable);
-	jlog_int(d->en->log, "number", d->order_number);
+	jlog_int(d->en->log, "number", d->ordered_number);
 	jlog_int(d->en->log, "status", status);
 	jlog_end(d->en->log);
-	o->dry_ms = now + (status == 409 ? DRY_MS : EDGE_DUTY_RETRY_MS);
+	o->retry_after_ms = now + (status == 409 ? NO_CAPACITY_RETRY_MS
+						 : EDGE_DUTY_RETRY_MS);
 }
 
 /*
@@ -172,21 +174,22 @@
  * zones, so that the first wave finds prompt caches on enough endpoints. Those
  * that run are no guide: they register one after the other.
  */
-#define MAX_PART 6.0
+#define FIRST_MAX_DIVISOR 6.0
 
 /* Part of the running endpoints that a new holder takes for needed at least. */
-#define START_PART 3.0
+#define FIRST_RUNNING_DIVISOR 3.0
 
 /* What runs at a service's endpoints, and how many of them may be used. */
-struct edge_at_work {
+struct edge_service_load {
 	double runs;
 	int usable;
 	double slots; /* of one endpoint */
 };
 
-static struct edge_at_work at_work(struct edge *en, const char *service)
+static struct edge_service_load sum_service_load(struct edge *en,
+						 const char *service)
 {
-	struct edge_at_work w = { 0 };
+	struct edge_service_load w = { 0 };
 	struct flt_endpoint *e;
 
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
@@ -200,7 +203,8 @@
 }
 
 /* Prompt tokens to be read a second, of the requests at all entries. */
-static double reads_per_s(struct edge *en, const struct svc *s, int64_t now)
+static double total_prefill_rate(struct edge *en, const struct svc *s,
+				 int64_t now)
 {
 	double sum = svc_reads_per_s(s, now);
 	struct prs_peer *p;
@@ -222,7 +226,7 @@
  * few answers, and plans that rest on the slope of one differ by half. The
  * holder of the duties is always told what its peers learned.
  */
-static double read_ms_of_all(struct edge *en, const struct svc *s, int64_t now)
+static double mean_prefill_ms(struct edge *en, const struct svc *s, int64_t now)
 {
 	struct svc_slope mean = { 0 };
 	struct prs_peer *p;
@@ -244,30 +248,30 @@
 }
 
 /* Endpoints that the load keeps busy, as far as it is known. */
-static double load_of(struct edge *en, const struct cfg_service *s,
-		      const struct edge_at_work *w)
+static double busy_endpoints(struct edge *en, const struct cfg_service *s,
+			     const struct edge_service_load *w)
 {
 	const struct svc *m = edge_service_model(en, s->name);
 	const double fit = svc_runs_fit(m, w->slots, s->gap_ms);
 
 	const struct svc_load load = {
-		.reads_per_s = reads_per_s(en, m, edge_now(en)),
+		.reads_per_s = total_prefill_rate(en, m, edge_now(en)),
 		.runs = w->runs,
 		.endpoints = w->usable,
-		.read_ms = read_ms_of_all(en, m, edge_now(en)),
+		.read_ms = mean_prefill_ms(en, m, edge_now(en)),
 	};
 
 	return svc_busy(m, &load, fit);
 }
 
 /* Endpoints of an order that were granted and may still be starting. */
-static int coming(const struct edge_order *o, int there, int64_t boot_ms,
-		  int64_t now)
+static int starting_endpoints(const struct edge_scale_order *o, int there,
+			      int64_t boot_ms, int64_t now)
 {
-	if (o->number <= there ||
-	    now - o->accepted_ms >= boot_ms + ORDER_EXTRA_MS)
+	if (o->accepted_number <= there ||
+	    now - o->accepted_ms >= boot_ms + START_MARGIN_MS)
 		return 0;
-	return o->number - there;
+	return o->accepted_number - there;
 }
 
 /* Endpoints of other versions are counted separately, not in the plan. */
@@ -276,7 +280,7 @@
 {
 	const bool other_version = e->use != FLT_IN_USE;
 
-	if (other_version && edge_rollout_stopping(en, e))
+	if (other_version && edge_rollout_is_replaced(en, e))
 		return;
 	if (e->info.reclaimable)
 		*(other_version ? &z->spot_other_version : &z->spot) += 1;
@@ -284,8 +288,8 @@
 		*(other_version ? &z->firm_other_version : &z->firm) += 1;
 }
 
-static size_t zones_of(struct edge_duty *d, const struct cfg_service *s,
-		       struct scale_zone *zones)
+static size_t collect_zones(struct edge_duty *d, const struct cfg_service *s,
+			    struct scale_zone *zones)
 {
 	const int64_t now = edge_now(d->en);
 	struct flt_endpoint *e;
@@ -293,7 +297,7 @@
 
 	for (i = 0; i < s->scaling.nr_prices && n < SCALE_ZONES; i++) {
 		struct scale_zone *z = &zones[n++];
-		const struct edge_order *order;
+		const struct edge_scale_order *order;
 
 		memset(z, 0, sizeof(*z));
 		str_copy(z->name, s->scaling.prices[i].zone, sizeof(z->name));
@@ -305,38 +309,39 @@
 				continue;
 			count_endpoint(d->en, z, e);
 		}
-		order = order_of(d, s->name, z->name, false);
-		z->firm_dry_ms = order->dry_ms;
-		z->firm_coming =
-			coming(order, z->firm, s->scaling.boot_ms, now);
-		order = order_of(d, s->name, z->name, true);
-		z->spot_dry_ms = order->dry_ms;
-		z->spot_coming =
-			coming(order, z->spot, s->scaling.boot_ms, now);
+		order = get_order(d, s->name, z->name, false);
+		z->firm_dry_ms = order->retry_after_ms;
+		z->firm_coming = starting_endpoints(order, z->firm,
+						    s->scaling.boot_ms, now);
+		order = get_order(d, s->name, z->name, true);
+		z->spot_dry_ms = order->retry_after_ms;
+		z->spot_coming = starting_endpoints(order, z->spot,
+						    s->scaling.boot_ms, now);
 	}
 	return n;
 }
 
-static bool carry_out(struct edge_duty *d, const struct cfg_service *s,
-		      const struct scale_zone *z, bool reclaimable)
+static bool place_order(struct edge_duty *d, const struct cfg_service *s,
+			const struct scale_zone *z, bool reclaimable)
 {
 	const int number = reclaimable ? z->want_spot : z->want_firm;
 	const int have = reclaimable ? z->spot : z->firm;
-	struct edge_order *o = order_of(d, s->name, z->name, reclaimable);
+	struct edge_scale_order *o =
+		get_order(d, s->name, z->name, reclaimable);
 	const int64_t now = edge_now(d->en);
 
-	if (now < o->dry_ms)
+	if (now < o->retry_after_ms)
 		return false;
 	/* There never were any, and none are wanted. */
-	if (o->number < 0 && !number && !have)
+	if (o->accepted_number < 0 && !number && !have)
 		return false;
 	/*
 	 * Reclaimed endpoints do not come back: what is missing after the
 	 * start-up time is ordered again.
 	 */
-	if (o->number == number &&
+	if (o->accepted_number == number &&
 	    (have >= number ||
-	     now - o->accepted_ms < s->scaling.boot_ms + ORDER_EXTRA_MS))
+	     now - o->accepted_ms < s->scaling.boot_ms + START_MARGIN_MS))
 		return false;
 	send_order(d, o, z, number);
 	return true;
@@ -346,25 +351,25 @@
  * A new holder knows nothing of the load before: it begins with what is
  * there, and with what the operators' bounds suggest.
  */
-static void follow_load(struct edge_duty *d, const struct cfg_service *s,
+static void update_need(struct edge_duty *d, const struct cfg_service *s,
 			struct scale_need *need, const struct scale_zone *z,
 			size_t n)
 {
-	double first = s->scaling.max * (double)n / MAX_PART;
-	const struct edge_at_work w = at_work(d->en, s->name);
+	double first = s->scaling.max * (double)n / FIRST_MAX_DIVISOR;
+	const struct edge_service_load w = sum_service_load(d->en, s->name);
 	int there = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++)
 		there += z[i].firm + z[i].spot;
-	if (first < there / START_PART)
-		first = there / START_PART;
-	scale_look(need, load_of(d->en, s, &w), w.usable, first);
+	if (first < there / FIRST_RUNNING_DIVISOR)
+		first = there / FIRST_RUNNING_DIVISOR;
+	scale_look(need, busy_endpoints(d->en, s, &w), w.usable, first);
 }
 
 /* Plans again if on-demand endpoints would go too fast. */
-static void ease_firm(struct edge_scaled *d, struct scale_input *in,
-		      struct scale_zone *zones, size_t n)
+static void limit_firm_removal(struct edge_plan *d, struct scale_input *in,
+			       struct scale_zone *zones, size_t n)
 {
 	int wanted = 0;
 	size_t i;
@@ -374,8 +379,8 @@
 	d->firm_held = in->idle || !in->ease
 			       ? wanted
 			       : scale_ease(d->firm_held, wanted,
-					    in->now_ms - d->eased_ms);
-	d->eased_ms = in->now_ms;
+					    in->now_ms - d->firm_held_ms);
+	d->firm_held_ms = in->now_ms;
 	in->firm_least = (int)d->firm_held;
 	if (in->firm_least > wanted)
 		scale_plan(in, zones, n);
@@ -385,7 +390,7 @@
 			 int64_t now)
 {
 	struct scale_zone zones[SCALE_ZONES];
-	const size_t n = zones_of(d, s, zones);
+	const size_t n = collect_zones(d, s, zones);
 	struct scale_input in = {
 		.min = s->scaling.min,
 		.max = s->scaling.max,
@@ -395,25 +400,25 @@
 		.loss_cover = d->en->conf->policy.loss_cover,
 		.ease = d->en->conf->policy.ease,
 	};
-	struct edge_scaled *row = scaled_of(d, s->name, now);
+	struct edge_plan *row = get_plan(d, s->name, now);
 	size_t i;
 
-	follow_load(d, s, &row->need, zones, n);
+	update_need(d, s, &row->need, zones, n);
 	in.idle = d->en->conf->first_start && !row->need.loaded;
 	in.busy = row->need.need;
 	/* One for each zone at least, for their prompt caches. */
 	in.need = row->need.need < (double)n ? (double)n : row->need.need;
 	scale_plan(&in, zones, n);
-	ease_firm(row, &in, zones, n);
+	limit_firm_removal(row, &in, zones, n);
 	/* Additions go before removals. */
 	for (i = 0; i < n; i++) {
 		if (zones[i].want_spot > zones[i].spot &&
-		    carry_out(d, s, &zones[i], true))
+		    place_order(d, s, &zones[i], true))
 			return;
 	}
 	for (i = 0; i < n; i++) {
-		if (carry_out(d, s, &zones[i], false) ||
-		    carry_out(d, s, &zones[i], true))
+		if (place_order(d, s, &zones[i], false) ||
+		    place_order(d, s, &zones[i], true))
 			return;
 	}
 }
@@ -421,14 +426,14 @@
 /* ---- The plan for the next holder ---- */
 
 /* The plan is written this often at most: each writing is a priced call. */
-#define PLAN_WRITE_MS 2000
+#define PLAN_WRITE_INTERVAL_MS 2000
 
 static void on_plan_written(void *arg, struct sto_answer *a)
 {
 	struct edge_duty *d = arg;
 
 	/* If it failed, the next look finds that the record still differs. */
-	d->writing_plan = false;
+	d->plan_write_in_flight = false;
 	if (a->outcome != STO_OK)
 		met_inc(d->en->m.store_failures);
 }
@@ -446,26 +451,27 @@
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
 	c.rows[0] = (struct sto_row){ EDGE_PLAN_KEY, value.data, value.len, 0 };
-	d->writing_plan = true;
+	d->plan_write_in_flight = true;
 	sto_call(en->store, &c, on_plan_written, d);
 }
 
-static void carry_on(struct edge_duty *d, int64_t now)
+static void store_plan(struct edge_duty *d, int64_t now)
 {
 	struct carry plan = { .nr_rows = 0 };
 	struct carry_row *row;
 	size_t i;
 
-	if (d->writing_plan || now - d->plan_written_ms < PLAN_WRITE_MS)
+	if (d->plan_write_in_flight ||
+	    now - d->plan_written_ms < PLAN_WRITE_INTERVAL_MS)
 		return;
-	for (i = 0; i < d->nr_scaled; i++) {
-		if (!d->scaled[i].need.loaded)
+	for (i = 0; i < d->nr_plans; i++) {
+		if (!d->plans[i].need.loaded)
 			continue;
-		row = carry_row(&plan, d->scaled[i].service);
+		row = carry_row(&plan, d->plans[i].service);
 		if (!row)
 			break;
-		row->need = d->scaled[i].need;
-		row->firm_held = d->scaled[i].firm_held;
+		row->need = d->plans[i].need;
+		row->firm_held = d->plans[i].firm_held;
 	}
 	if (!plan.nr_rows || !carry_differs(&plan, &d->en->plan))
 		return;
@@ -478,13 +484,13 @@
 	const struct cfg *c = d->en->force.cfg;
 	size_t i;
 
-	if (!c || d->calling || d->step == STEP_SENDING ||
+	if (!c || d->call_in_flight || d->report_state == REPORT_SENDING ||
 	    !edge_duty_may_act(d->en))
 		return;
 	for (i = 0; i < c->nr_services; i++) {
 		if (c->services[i].has_scaling &&
-		    !edge_rollout_shifting(d->en, c->services[i].name))
+		    !edge_rollout_is_shifting(d->en, c->services[i].name))
 			plan_service(d, &c->services[i], now);
 	}
-	carry_on(d, now);
+	store_plan(d, now);
 }
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -14,7 +14,7 @@
  * so many bytes. Neither happens more than a few times a second.
  */
 #define SLOW_ANSWER_MS 300
-#define LARGE_ANSWER (64u << 10)
+#define LARGE_ANSWER_BYTES (64u << 10)
 
 /* ---- Keys ---- */
 
@@ -48,7 +48,7 @@
  * The copy that the store came back from still lists endpoints that left
  * since. One that lives writes its entry again.
  */
-static bool left_since(struct edge *en, const struct flt_info *info)
+static bool is_stale_entry(struct edge *en, const struct flt_info *info)
 {
 	if (!en->watches[EDGE_WATCH_ENDPOINTS].resyncing ||
 	    !flt_was_removed(&en->fleet, info, edge_now(en)))
@@ -60,15 +60,15 @@
 	return true;
 }
 
-static void take_endpoint(struct edge *en, const char *key, const char *value,
-			  size_t len)
+static void apply_endpoint(struct edge *en, const char *key, const char *value,
+			   size_t len)
 {
-	static const char *const words[] = { NULL, "new", "draining", "back",
-					     "restarted" };
+	static const char *const change_names[] = { NULL, "new", "draining",
+						    "back", "restarted" };
 	struct err e = ERR_INIT;
 	struct flt_info info;
 	struct flt_endpoint *ep;
-	enum flt_change news;
+	enum flt_change change;
 
 	if (en->wire->decode_endpoint(key, value, len, &info, &e)) {
 		/* Whoever wrote it: the key names no endpoint now. */
@@ -78,16 +78,16 @@
 		edge_log_unreadable(en, key, e.text);
 		return;
 	}
-	if (left_since(en, &info))
+	if (is_stale_entry(en, &info))
 		return;
-	ep = flt_upsert(&en->fleet, &info, edge_now(en), &news);
-	edge_rollout_listed(en, ep);
-	if (words[news])
-		log_endpoint(en, ep, words[news]);
+	ep = flt_upsert(&en->fleet, &info, edge_now(en), &change);
+	edge_rollout_endpoint_listed(en, ep);
+	if (change_names[change])
+		log_endpoint(en, ep, change_names[change]);
 }
 
-static void take_entry(struct edge *en, const char *key, const char *value,
-		       size_t len)
+static void apply_entry(struct edge *en, const char *key, const char *value,
+			size_t len)
 {
 	JSN_AUTO *o = jsn_parse(value, len);
 	struct prs_info info;
@@ -109,29 +109,29 @@
 	jlog_end(en->log);
 }
 
-static enum lead_whose whose_duty(const struct edge *en, const char *value,
-				  size_t len)
+static enum lead_whose classify_holder(const struct edge *en, const char *value,
+				       size_t len)
 {
-	char mine[128];
+	char own_value[128];
 
-	edge_lease_format_holder(en, mine, sizeof(mine));
-	if (strlen(mine) == len && !memcmp(mine, value, len))
+	edge_lease_format_holder(en, own_value, sizeof(own_value));
+	if (strlen(own_value) == len && !memcmp(own_value, value, len))
 		return LEAD_MINE;
 	if (!strcmp(en->duty_holder, en->conf->name))
 		return LEAD_FORMER;
 	return LEAD_OTHERS;
 }
 
-static void take_duty(struct edge *en, const char *value, size_t len,
-		      int64_t revision)
+static void apply_duty(struct edge *en, const char *value, size_t len,
+		       int64_t revision)
 {
-	const bool was = en->lead.mine;
+	const bool was_mine = en->lead.mine;
 
 	edge_lease_parse_holder(value, len, en->duty_holder,
 				sizeof(en->duty_holder));
-	lead_seen(&en->lead, whose_duty(en, value, len), revision,
+	lead_seen(&en->lead, classify_holder(en, value, len), revision,
 		  edge_now(en));
-	if (was == en->lead.mine)
+	if (was_mine == en->lead.mine)
 		return;
 	jlog_begin(en->log, JLOG_INFO, "duty");
 	jlog_bool(en->log, "holding", en->lead.mine);
@@ -139,7 +139,7 @@
 	jlog_end(en->log);
 }
 
-static bool begins(const char *key, const char *prefix)
+static bool has_prefix(const char *key, const char *prefix)
 {
 	return !strncmp(key, prefix, strlen(prefix));
 }
@@ -149,73 +149,73 @@
 {
 	struct edge *en = arg;
 
-	if (begins(key, en->wire->endpoint_prefix))
-		take_endpoint(en, key, value, len);
-	else if (begins(key, EDGE_ENTRY_PREFIX))
-		take_entry(en, key, value, len);
+	if (has_prefix(key, en->wire->endpoint_prefix))
+		apply_endpoint(en, key, value, len);
+	else if (has_prefix(key, EDGE_ENTRY_PREFIX))
+		apply_entry(en, key, value, len);
 	else if (!strcmp(key, EDGE_DUTY_KEY))
-		take_duty(en, value, len, revision);
+		apply_duty(en, value, len, revision);
 	else if (!strcmp(key, EDGE_ERA_KEY))
 		edge_era_record_seen(en, value, len, revision);
-	else if (begins(key, EDGE_FATAL_PREFIX))
+	else if (has_prefix(key, EDGE_FATAL_PREFIX))
 		edge_fatal_record_seen(en, key, value, len);
-	else if (begins(key, EDGE_ROLLOUT_PREFIX))
-		edge_rollout_recorded(en, key, value, len, revision);
-	else if (begins(key, en->wire->rollout_prefix))
-		edge_rollout_ordered(en, key, value, len, revision);
+	else if (has_prefix(key, EDGE_ROLLOUT_PREFIX))
+		edge_rollout_record_seen(en, key, value, len, revision);
+	else if (has_prefix(key, en->wire->rollout_prefix))
+		edge_rollout_order_seen(en, key, value, len, revision);
 	else if (!strcmp(key, EDGE_PLAN_KEY) &&
 		 !carry_decode(value, len, &en->plan))
 		edge_log_unreadable(en, key, "no plan");
 }
 
 /* When endpoints' entries that the store lost began to be written again. */
-static int64_t store_back_ms(const struct edge *en)
+static int64_t rewrites_began_ms(const struct edge *en)
 {
 	const int64_t back = sto_back_ms(en->store);
 
 	return back > en->era.detected_ms ? back : en->era.detected_ms;
 }
 
-static void on_gone(void *arg, const char *key, int64_t revision)
+static void on_deleted(void *arg, const char *key, int64_t revision)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
 	struct flt_endpoint *e;
 
-	if (begins(key, en->wire->endpoint_prefix)) {
+	if (has_prefix(key, en->wire->endpoint_prefix)) {
 		e = flt_mark_missing(&en->fleet,
 				     key + strlen(en->wire->endpoint_prefix),
-				     store_back_ms(en), now);
+				     rewrites_began_ms(en), now);
 		if (e)
 			log_endpoint(en, e,
 				     e->grace_until_ms > now ? "lapsed"
 							     : "unlisted");
-	} else if (begins(key, EDGE_ENTRY_PREFIX)) {
+	} else if (has_prefix(key, EDGE_ENTRY_PREFIX)) {
 		prs_unregistered(&en->prs, key + strlen(EDGE_ENTRY_PREFIX),
 				 now);
 	} else if (!strcmp(key, EDGE_ERA_KEY)) {
 		edge_era_record_deleted(en);
-	} else if (begins(key, EDGE_FATAL_PREFIX)) {
+	} else if (has_prefix(key, EDGE_FATAL_PREFIX)) {
 		/* What the store lost, nobody lifted. */
 		if (en->watches[EDGE_WATCH_SYSTEM].resyncing)
 			edge_fatal_record_lost(en, key);
 		else
 			edge_fatal_record_deleted(en, key);
-	} else if (begins(key, EDGE_ROLLOUT_PREFIX)) {
-		edge_rollout_unrecorded(en, key);
-	} else if (begins(key, en->wire->rollout_prefix)) {
-		edge_rollout_withdrawn(en, key);
+	} else if (has_prefix(key, EDGE_ROLLOUT_PREFIX)) {
+		edge_rollout_record_deleted(en, key);
+	} else if (has_prefix(key, en->wire->rollout_prefix)) {
+		edge_rollout_order_deleted(en, key);
 	} else if (!strcmp(key, EDGE_DUTY_KEY)) {
 		en->duty_holder[0] = '\0';
 		lead_vacant(&en->lead, revision, now);
 	}
 }
 
-const struct mir_vtable edge_mirror_vtable = { on_put, on_gone };
+const struct mir_vtable edge_mirror_vtable = { on_put, on_deleted };
 
 /* ---- Life ---- */
 
-static const struct sockaddr_in *detour(void *arg)
+static const struct sockaddr_in *pick_relay(void *arg)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -231,8 +231,8 @@
 	return found;
 }
 
-static void on_store(void *arg, bool reachable, const char *why, bool direct,
-		     int64_t took_ms)
+static void on_reachability(void *arg, bool reachable, const char *why,
+			    bool direct, int64_t took_ms)
 {
 	struct edge *en = arg;
 
@@ -251,7 +251,7 @@
 
 	met_inc(t->following ? en->m.store_followed
 			     : en->m.store_calls[t->kind]);
-	if (t->late_ms < SLOW_ANSWER_MS && t->bytes < LARGE_ANSWER)
+	if (t->late_ms < SLOW_ANSWER_MS && t->bytes < LARGE_ANSWER_BYTES)
 		return;
 	jlog_begin(en->log, JLOG_INFO, "store_answer");
 	jlog_str(en->log, "call", sto_kind_name(t->kind));
@@ -274,7 +274,7 @@
 	return at ? now - at : -1;
 }
 
-static void log_gone(struct flt_endpoint *e, void *arg)
+static void on_endpoint_removed(struct flt_endpoint *e, void *arg)
 {
 	log_endpoint(arg, e, "gone");
 	edge_fatal_endpoint_gone(arg, e);
@@ -283,8 +283,8 @@
 void edge_store_open(struct edge *en, const struct sockaddr_in *addr)
 {
 	en->store = sto_create(en->loop, en->clk, en->wire->store, addr,
-			       on_store, en);
-	sto_set_detour(en->store, detour, en);
+			       on_reachability, en);
+	sto_set_detour(en->store, pick_relay, en);
 	sto_set_trace(en->store, on_traced, en);
 	edge_era_open(en);
 	edge_watch_open(en);
@@ -296,5 +296,5 @@
 	edge_era_tick(en, now);
 	edge_config_tick(en, now);
 	edge_lease_tick(en, now);
-	flt_expire(&en->fleet, now, log_gone, en);
+	flt_expire(&en->fleet, now, on_endpoint_removed, en);
 }
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -1,4 +1,4 @@
-/* Following the store's keys: by a watch of our own, or by that of another
+/* Following the store's id: by a watch of our own, or by that of another
  * entry. */
 #include <assert.h>
 
@@ -13,9 +13,9 @@
  * asks the store itself, the list is 1.6 s old at most where two are allowed,
  * and 2 s where three are. Of the entries there is word by datagrams, too.
  */
-#define ENDPOINTS_WAIT_PART 3
-#define ENDPOINTS_WAIT_MIN_MS 300
-#define OWN_WAIT_MS 2000
+#define ENDPOINTS_WAIT_DIVISOR 3
+#define MIN_ENDPOINTS_WAIT_MS 300
+#define SYSTEM_WAIT_MS 2000
 
 /* At most the time that endpoints of an ordered version take to start. */
 #define ROLLOUTS_WAIT_MS 2000
@@ -25,21 +25,21 @@
  * so much more time it counts as lost.
  */
 #define FOLLOW_WAIT_MS 900
-#define FOLLOW_EXTRA_MS 400
+#define FOLLOW_MARGIN_MS 400
 
 /*
  * After a lost leader the store is watched directly for so long; after one
  * that had not what we lacked, for the time in which one watch brings it.
  */
-#define FOLLOW_REST_MS 2000
-#define FOLLOW_ONCE_MS 200
+#define LEADER_LOST_BACKOFF_MS 2000
+#define LEADER_BEHIND_BACKOFF_MS 200
 
 /*
  * What our watch brings is passed on only while our own way to the store
  * worked this lately: a leader that is cut off would leave its followers
  * blind beside a store that they can reach.
  */
-#define TRUST_WAY_MS 1300
+#define MAX_DIRECT_AGE_MS 1300
 
 /*
  * What is passed on is packed from this size on: below it a change is a
@@ -47,11 +47,11 @@
  * are more than may be passed on as they are, and 280 followers would each
  * read them from the store.
  */
-#define PACK_BYTES 1024
+#define MIN_PACK_BYTES 1024
 
 /* ---- The calls ---- */
 
-static void failed(struct edge_watch *w, int64_t now)
+static void watch_failed(struct edge_watch *w, int64_t now)
 {
 	met_inc(w->en->m.store_failures);
 	mir_failed(&w->mirror, now);
@@ -61,7 +61,7 @@
  * True if what was read is of an earlier era of the store: it is read anew,
  * and nobody follows us meanwhile.
  */
-static bool returned(struct edge_watch *w, int64_t now)
+static bool check_era(struct edge_watch *w, int64_t now)
 {
 	const int64_t era = sto_era(w->en->store);
 
@@ -81,13 +81,13 @@
 	size_t i;
 
 	if (a->outcome != STO_OK) {
-		failed(w, now);
+		watch_failed(w, now);
 		return;
 	}
 	/* The first page of all shows the era. */
 	if (!w->mirror.whole && !w->mirror.first_page_rev)
 		w->era = a->era;
-	if (returned(w, now))
+	if (check_era(w, now))
 		return;
 	for (i = 0; i < a->nr_items; i++) {
 		if (a->items[i].value)
@@ -112,12 +112,12 @@
 }
 
 /* For those that follow us, in as few bytes as they come to. */
-static void pass_on(struct edge_watch *w, const struct sto_answer *a)
+static void add_to_feed(struct edge_watch *w, const struct sto_answer *a)
 {
 	BUF_AUTO packed = BUF_INIT;
 	const bool any = a->nr_items > 0;
 
-	if (any && a->raw_len >= PACK_BYTES &&
+	if (any && a->raw_len >= MIN_PACK_BYTES &&
 	    zip_pack(a->raw, a->raw_len, &packed))
 		feed_add(&w->feed, w->mirror.revision, a->revision, any,
 			 packed.data, packed.len);
@@ -132,7 +132,7 @@
 	struct edge *en = w->en;
 	const int64_t now = edge_now(en);
 
-	if (returned(w, now))
+	if (check_era(w, now))
 		return;
 	if (a->outcome == STO_HISTORY_LOST) {
 		jlog_begin(en->log, JLOG_WARN, "store_history_lost");
@@ -144,10 +144,10 @@
 		return;
 	}
 	if (a->outcome != STO_OK) {
-		failed(w, now);
+		watch_failed(w, now);
 		return;
 	}
-	pass_on(w, a);
+	add_to_feed(w, a);
 	w->from_store = true;
 	apply_changes(w, a);
 	mir_watched(&w->mirror, a->nr_items > 0, a->revision, now);
@@ -162,14 +162,14 @@
 	struct edge_watch *w = arg;
 	const int64_t now = edge_now(w->en);
 
-	if (returned(w, now))
+	if (check_era(w, now))
 		return;
 	if (a->outcome != STO_OK) {
 		/* The store itself is asked, at once: once if the leader has
 		 * not what we lack, else for a while. */
 		w->follow_after_ms = now + (a->outcome == STO_ABSENT
-						    ? FOLLOW_ONCE_MS
-						    : FOLLOW_REST_MS);
+						    ? LEADER_BEHIND_BACKOFF_MS
+						    : LEADER_LOST_BACKOFF_MS);
 		mir_failed(&w->mirror, now);
 		w->mirror.due_ms = now;
 		return;
@@ -196,7 +196,7 @@
 		return false;
 	w->following = true;
 	sto_follow(en->store, (unsigned)(w - en->watches), &p->addr,
-		   w->mirror.revision, FOLLOW_WAIT_MS, FOLLOW_EXTRA_MS,
+		   w->mirror.revision, FOLLOW_WAIT_MS, FOLLOW_MARGIN_MS,
 		   on_followed, w);
 	return true;
 }
@@ -206,16 +206,16 @@
 	const struct edge *en = w->en;
 
 	return !en->stopping && w->mirror.whole && !w->resyncing &&
-	       now - sto_direct_good_ms(en->store) <= TRUST_WAY_MS &&
+	       now - sto_direct_good_ms(en->store) <= MAX_DIRECT_AGE_MS &&
 	       feed_alive(w->complete_ms, w->wait_ms, now);
 }
 
 /* ---- Life ---- */
 
-static void open_watch(struct edge *en, enum edge_watch_id keys,
+static void open_watch(struct edge *en, enum edge_watch_id id,
 		       const char *prefix, int wait_ms)
 {
-	struct edge_watch *w = &en->watches[keys];
+	struct edge_watch *w = &en->watches[id];
 
 	w->en = en;
 	w->prefix = prefix;
@@ -226,11 +226,11 @@
 
 static int endpoints_wait(const struct edge *en)
 {
-	const int ms = (int)en->conf->bounds.drain_ms / ENDPOINTS_WAIT_PART;
+	const int ms = (int)en->conf->bounds.drain_ms / ENDPOINTS_WAIT_DIVISOR;
 
-	if (ms < ENDPOINTS_WAIT_MIN_MS)
-		return ENDPOINTS_WAIT_MIN_MS;
-	return ms > OWN_WAIT_MS ? OWN_WAIT_MS : ms;
+	if (ms < MIN_ENDPOINTS_WAIT_MS)
+		return MIN_ENDPOINTS_WAIT_MS;
+	return ms > SYSTEM_WAIT_MS ? SYSTEM_WAIT_MS : ms;
 }
 
 void edge_watch_open(struct edge *en)
@@ -240,7 +240,7 @@
 
 	open_watch(en, EDGE_WATCH_ENDPOINTS, en->wire->endpoint_prefix,
 		   endpoints_wait(en));
-	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, OWN_WAIT_MS);
+	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, SYSTEM_WAIT_MS);
 	open_watch(en, EDGE_WATCH_ROLLOUTS, en->wire->rollout_prefix,
 		   ROLLOUTS_WAIT_MS);
 }
@@ -265,7 +265,7 @@
 
 	/* Another call showed it; one of ours that is under way ends first. */
 	if (!w->mirror.calling && w->mirror.whole && !w->resyncing)
-		returned(w, now);
+		check_era(w, now);
 	if (w->mirror.state == MIR_WATCH && !may_watch(w, now))
 		return;
 
--- a/lib/edge/explain.c
+++ b/lib/edge/explain.c
@@ -10,21 +10,21 @@
 /* Lines on the fleet and the store that are kept for context. */
 #define MAX_CONTEXT 100000
 
-struct line {
+struct log_line {
 	struct json_object *o;
 	const char *time, *instance, *event;
 };
 
-struct lines {
-	struct line *all;
+struct log_lines {
+	struct log_line *all;
 	size_t n;
 };
 
 struct explain {
 	char *id;
-	struct lines own;     /* of the request */
-	struct lines context; /* of endpoints, store, configuration */
-	size_t unread;
+	struct log_lines request_lines; /* of the request */
+	struct log_lines context;	/* of endpoints, store, configuration */
+	size_t unparsed;
 };
 
 struct explain *explain_create(const char *request_id)
@@ -36,7 +36,7 @@
 	return x;
 }
 
-static void free_lines(struct lines *l)
+static void free_lines(struct log_lines *l)
 {
 	size_t i;
 
@@ -47,18 +47,18 @@
 
 void explain_free(struct explain *x)
 {
-	free_lines(&x->own);
+	free_lines(&x->request_lines);
 	free_lines(&x->context);
 	free(x->id);
 	free(x);
 }
 
-static void keep(struct lines *l, struct json_object *o)
+static void add_line(struct log_lines *l, struct json_object *o)
 {
 	l->all = realloc(l->all, (l->n + 1) * sizeof(*l->all));
 	if (!l->all)
 		abort();
-	l->all[l->n++] = (struct line){
+	l->all[l->n++] = (struct log_line){
 		.o = json_object_get(o),
 		.time = jsn_str(o, "time", ""),
 		.instance = jsn_str(o, "instance", ""),
@@ -89,30 +89,30 @@
 	JSN_AUTO *o = at ? jsn_parse(at, strlen(at)) : NULL;
 
 	if (!o || !jsn_get(o, "event")) {
-		x->unread += *line && *line != '\n';
+		x->unparsed += *line && *line != '\n';
 		return;
 	}
 	if (!strcmp(jsn_str(o, "id", ""), x->id))
-		keep(&x->own, o);
+		add_line(&x->request_lines, o);
 	else if (x->context.n < MAX_CONTEXT &&
 		 is_context(jsn_str(o, "event", "")))
-		keep(&x->context, o);
+		add_line(&x->context, o);
 }
 
-size_t explain_unread(const struct explain *x)
+size_t explain_unparsed(const struct explain *x)
 {
-	return x->unread;
+	return x->unparsed;
 }
 
 /* ---- Telling ---- */
 
-static int order(const void *a, const void *b)
+static int by_time(const void *a, const void *b)
 {
-	return strcmp(((const struct line *)a)->time,
-		      ((const struct line *)b)->time);
+	return strcmp(((const struct log_line *)a)->time,
+		      ((const struct log_line *)b)->time);
 }
 
-static void put_line(struct buf *out, const struct line *l)
+static void write_line(struct buf *out, const struct log_line *l)
 {
 	buf_fmt(out, "%s %s %s", l->time, l->instance, l->event);
 	json_object_object_foreach(l->o, name, value)
@@ -126,7 +126,8 @@
 	buf_str(out, "\n");
 }
 
-static const struct line *last_of(const struct lines *l, const char *event)
+static const struct log_line *last_of(const struct log_lines *l,
+				      const char *event)
 {
 	size_t i = l->n;
 
@@ -137,36 +138,37 @@
 	return NULL;
 }
 
-/* The last line of context before `time` that `fits`. */
-static const struct line *
-before(const struct explain *x, const char *time,
-       bool (*fits)(const struct line *, const char *what), const char *what)
+/* The last log_line of context last_before `time` that `matches`. */
+static const struct log_line *
+last_before(const struct explain *x, const char *time,
+	    bool (*matches)(const struct log_line *, const char *what),
+	    const char *what)
 {
-	const struct line *found = NULL;
+	const struct log_line *found = NULL;
 	size_t i;
 
 	for (i = 0; i < x->context.n; i++) {
-		const struct line *l = &x->context.all[i];
+		const struct log_line *l = &x->context.all[i];
 
-		if (strcmp(l->time, time) <= 0 && fits(l, what))
+		if (strcmp(l->time, time) <= 0 && matches(l, what))
 			found = l;
 	}
 	return found;
 }
 
-static bool on_endpoint(const struct line *l, const char *id)
+static bool is_endpoint_change(const struct log_line *l, const char *id)
 {
 	return !strcmp(l->event, "endpoint") &&
 	       !strcmp(jsn_str(l->o, "endpoint", ""), id);
 }
 
-static bool on_store(const struct line *l, const char *instance)
+static bool is_store_event(const struct log_line *l, const char *instance)
 {
 	return !strncmp(l->event, "store_", 6) &&
 	       !strcmp(l->instance, instance);
 }
 
-static bool failed_send(const struct line *l)
+static bool failed_send(const struct log_line *l)
 {
 	const char *outcome = jsn_str(l->o, "outcome", "");
 
@@ -175,62 +177,64 @@
 }
 
 /* What an endpoint did, and what was known of it. */
-static void tell_endpoint(const struct explain *x, const struct line *send,
-			  struct buf *out)
+static void write_endpoint_cause(const struct explain *x,
+				 const struct log_line *send, struct buf *out)
 {
 	const char *id = jsn_str(send->o, "endpoint", "");
-	const struct line *known = before(x, send->time, on_endpoint, id);
+	const struct log_line *known =
+		last_before(x, send->time, is_endpoint_change, id);
 
 	buf_fmt(out, "cause: endpoint %s: %s\n", id,
 		jsn_str(send->o, "outcome", ""));
 	if (known)
-		put_line(out, known);
+		write_line(out, known);
 }
 
-static void tell_cause(const struct explain *x, const struct line *end,
-		       struct buf *out)
+static void write_cause(const struct explain *x, const struct log_line *end,
+			struct buf *out)
 {
 	const int64_t status = jsn_int(end->o, "status", 0);
 	const char *why = jsn_str(end->o, "why", "");
-	const struct line *store;
-	size_t i = x->own.n;
+	const struct log_line *store;
+	size_t i = x->request_lines.n;
 
 	while (i--) {
-		if (failed_send(&x->own.all[i])) {
-			tell_endpoint(x, &x->own.all[i], out);
+		if (failed_send(&x->request_lines.all[i])) {
+			write_endpoint_cause(x, &x->request_lines.all[i], out);
 			return;
 		}
 	}
 	buf_fmt(out, "cause: %s\n", *why ? why : "none: the answer was passed");
-	store = before(x, end->time, on_store, end->instance);
+	store = last_before(x, end->time, is_store_event, end->instance);
 	if (status == 503 && store)
-		put_line(out, store);
+		write_line(out, store);
 }
 
-bool explain_tell(struct explain *x, struct buf *out)
+bool explain_report(struct explain *x, struct buf *out)
 {
 	static const char *const ends[] = { "cut", "answer", "caller_gone",
 					    "passed" };
-	const struct line *end = NULL;
+	const struct log_line *end = NULL;
 	size_t i;
 
-	if (!x->own.n)
+	if (!x->request_lines.n)
 		return false;
-	qsort(x->own.all, x->own.n, sizeof(*x->own.all), order);
+	qsort(x->request_lines.all, x->request_lines.n,
+	      sizeof(*x->request_lines.all), by_time);
 	if (x->context.n)
 		qsort(x->context.all, x->context.n, sizeof(*x->context.all),
-		      order);
-	for (i = 0; i < x->own.n; i++)
-		put_line(out, &x->own.all[i]);
+		      by_time);
+	for (i = 0; i < x->request_lines.n; i++)
+		write_line(out, &x->request_lines.all[i]);
 	for (i = 0; i < sizeof(ends) / sizeof(ends[0]) && !end; i++)
-		end = last_of(&x->own, ends[i]);
+		end = last_of(&x->request_lines, ends[i]);
 	if (!end) {
 		buf_str(out, "no end: the entry ended while it had the "
 			     "request, or lines are missing\n");
 		return true;
 	}
 	buf_str(out, "deciding: ");
-	put_line(out, end);
-	tell_cause(x, end, out);
+	write_line(out, end);
+	write_cause(x, end, out);
 	return true;
 }
--- a/lib/edge/explain.h
+++ b/lib/edge/explain.h
@@ -23,12 +23,12 @@
 void explain_line(struct explain *x, const char *line);
 
 /* Lines that could not be read. */
-size_t explain_unread(const struct explain *x);
+size_t explain_unparsed(const struct explain *x);
 
 /*
  * Writes the lines of the request in order of time and, last, the deciding
  * one with what was known around it. False: the id is in no line.
  */
-bool explain_tell(struct explain *x, struct buf *out);
+bool explain_report(struct explain *x, struct buf *out);
 
 #endif
--- a/lib/edge/losses.c
+++ b/lib/edge/losses.c
@@ -11,20 +11,20 @@
 #include "base/jsn.h"
 #include "base/tab.h"
 
-#define NAME 80
+#define NAME_SIZE 80
 
 /* "YYYY-MM-DDTHH:MM:SS" of a line's time. */
 #define SECOND_LEN 19
 
 enum outcome {
-	OPEN, /* sent, and no end seen */
+	UNFINISHED, /* sent, and no end seen */
 	SERVED,
 	LATE,
 	REFUSED,
 	FAILED,
 	DENIED, /* the request itself was wrong */
 	CUT,
-	LEFT, /* by the caller */
+	ABANDONED, /* by the caller */
 	NR_OUTCOMES,
 };
 
@@ -40,26 +40,26 @@
 };
 
 /* One attempt of a caller. */
-struct attempt_seen {
-	char id[NAME];
-	char route[NAME];
-	char endpoint[NAME];	     /* that it was sent to last */
+struct loss_attempt {
+	char id[NAME_SIZE];
+	char route[NAME_SIZE];
+	char endpoint[NAME_SIZE];    /* that it was sent to last */
 	char second[SECOND_LEN + 1]; /* of its last line */
-	char why[NAME];
+	char why[NAME_SIZE];
 	enum outcome outcome;
 	UT_hash_handle hh;
 };
 
 /* A count under a name; `of` says what it counts. */
 struct row {
-	char name[3 * NAME];
+	char name[3 * NAME_SIZE];
 	unsigned long n[NR_OUTCOMES];
 	UT_hash_handle hh;
 };
 
 struct losses {
-	struct attempt_seen *attempts;
-	size_t unread;
+	struct loss_attempt *attempts;
+	size_t unparsed;
 };
 
 struct losses *losses_create(void)
@@ -83,7 +83,7 @@
 
 void losses_free(struct losses *l)
 {
-	struct attempt_seen *a, *next;
+	struct loss_attempt *a, *next;
 
 	HASH_ITER(hh, l->attempts, a, next)
 	{
@@ -93,19 +93,19 @@
 	free(l);
 }
 
-size_t losses_unread(const struct losses *l)
+size_t losses_unparsed(const struct losses *l)
 {
-	return l->unread;
+	return l->unparsed;
 }
 
 /* ---- Lines ---- */
 
 /* uthash's macros count as many statements of ours. */
 /* NOLINTNEXTLINE(readability-function-size) */
-static struct attempt_seen *attempt_of(struct losses *l, const char *id)
+static struct loss_attempt *get_attempt(struct losses *l, const char *id)
 {
-	struct attempt_seen *a;
-	char key[NAME];
+	struct loss_attempt *a;
+	char key[NAME_SIZE];
 
 	str_copy(key, id, sizeof(key));
 	HASH_FIND_STR(l->attempts, key, a);
@@ -118,77 +118,77 @@
 	return a;
 }
 
-/* True if `ms` is over `bound`, where one is stated. */
-static bool over(int64_t ms, int64_t bound)
+/* True if `ms` is exceeds `bound`, where one is stated. */
+static bool exceeds(int64_t ms, int64_t bound)
 {
 	return bound > 0 && ms > bound;
 }
 
-static enum outcome of_passed(struct json_object *o)
+static enum outcome classify_passed(struct json_object *o)
 {
 	const int64_t first = jsn_int(o, "first_ms", -1);
 	const int64_t took = jsn_int(o, "took_ms", 0);
 
 	if (jsn_int(o, "status", 200) >= 400)
 		return FAILED;
-	if (over(first >= 0 ? first : took, jsn_int(o, "objective_ms", 0)))
+	if (exceeds(first >= 0 ? first : took, jsn_int(o, "objective_ms", 0)))
 		return LATE;
-	if (over(jsn_int(o, "pause_ms", 0), jsn_int(o, "pause_bound_ms", 0)))
+	if (exceeds(jsn_int(o, "pause_ms", 0), jsn_int(o, "pause_bound_ms", 0)))
 		return LATE;
 	return SERVED;
 }
 
-static enum outcome of_answer(int64_t status)
+static enum outcome classify_answer(int64_t status)
 {
 	if (status == 503 || status == 429)
 		return REFUSED;
 	return status >= 500 ? FAILED : DENIED;
 }
 
-static const char *late_why(struct json_object *o)
+static const char *late_reason(struct json_object *o)
 {
 	const int64_t first = jsn_int(o, "first_ms", -1);
 	const int64_t bound = jsn_int(o, "objective_ms", 0);
 
-	if (over(first >= 0 ? first : jsn_int(o, "took_ms", 0), bound))
+	if (exceeds(first >= 0 ? first : jsn_int(o, "took_ms", 0), bound))
 		return first >= 0 ? "first event" : "answer";
 	return "pause";
 }
 
-/* True if the line ends a request; says how. */
-static bool ends(struct json_object *o, const char *event, enum outcome *out,
-		 const char **why)
+/* True if the line parse_end a request; says how. */
+static bool parse_end(struct json_object *o, const char *event,
+		      enum outcome *out, const char **why)
 {
 	*why = jsn_str(o, "why", "");
 	if (!strcmp(event, "passed")) {
-		*out = of_passed(o);
+		*out = classify_passed(o);
 		if (*out == LATE)
-			*why = late_why(o);
+			*why = late_reason(o);
 		else if (*out == FAILED)
 			*why = "error of the endpoint";
 	} else if (!strcmp(event, "answer")) {
-		*out = of_answer(jsn_int(o, "status", 0));
+		*out = classify_answer(jsn_int(o, "status", 0));
 	} else if (!strcmp(event, "cut")) {
 		*out = CUT;
 	} else if (!strcmp(event, "caller_gone")) {
-		*out = LEFT;
+		*out = ABANDONED;
 	} else {
 		return false;
 	}
 	return true;
 }
 
-static void take(struct losses *l, struct json_object *o, const char *id)
+static void add_line(struct losses *l, struct json_object *o, const char *id)
 {
 	const char *event = jsn_str(o, "event", "");
-	struct attempt_seen *a;
+	struct loss_attempt *a;
 	enum outcome outcome;
 	const char *why;
-	const bool end = ends(o, event, &outcome, &why);
+	const bool end = parse_end(o, event, &outcome, &why);
 
 	if (!end && strcmp(event, "send"))
 		return;
-	a = attempt_of(l, id);
+	a = get_attempt(l, id);
 	str_copy(a->second, jsn_str(o, "time", ""), sizeof(a->second));
 	if (jsn_str(o, "route", "")[0])
 		str_copy(a->route, jsn_str(o, "route", ""), sizeof(a->route));
@@ -208,15 +208,15 @@
 	const char *id = jsn_str(o, "id", "");
 
 	if (!o || !jsn_get(o, "event"))
-		l->unread += *line && *line != '\n';
+		l->unparsed += *line && *line != '\n';
 	else if (*id)
-		take(l, o, id);
+		add_line(l, o, id);
 }
 
 /* ---- Tables ---- */
 
 /* NOLINTNEXTLINE(readability-function-size) */
-static struct row *row_of(struct row **rows, const char *name)
+static struct row *get_row(struct row **rows, const char *name)
 {
 	struct row *r;
 
@@ -233,7 +233,7 @@
 /* Callers' own mistakes and departures are not lost by the system. */
 static bool is_loss(enum outcome o)
 {
-	return o != SERVED && o != DENIED && o != LEFT;
+	return o != SERVED && o != DENIED && o != ABANDONED;
 }
 
 static unsigned long lost(const struct row *r)
@@ -269,10 +269,11 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size) */
-static void tell_routes(struct row **routes, struct buf *out)
+static void write_routes(struct row **routes, struct buf *out)
 {
-	static const enum outcome shown[] = { SERVED, LATE, REFUSED, FAILED,
-					      CUT,    OPEN, DENIED,  LEFT };
+	static const enum outcome shown[] = { SERVED, LATE,	REFUSED,
+					      FAILED, CUT,	UNFINISHED,
+					      DENIED, ABANDONED };
 	struct row *r, *next;
 	size_t i;
 
@@ -292,8 +293,9 @@
 	}
 }
 
-/* The endpoint that had most of the losses of this outcome and reason. */
-static const struct row *most(struct row *endpoints, const char *reason)
+/* The endpoint that had worst_endpoint of the losses of this outcome and reason. */
+static const struct row *worst_endpoint(struct row *endpoints,
+					const char *reason)
 {
 	const size_t len = strlen(reason);
 	const struct row *best = NULL;
@@ -310,8 +312,8 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size) */
-static void tell_reasons(struct row **reasons, struct row *endpoints,
-			 struct buf *out)
+static void write_reasons(struct row **reasons, struct row *endpoints,
+			  struct buf *out)
 {
 	struct row *r, *next;
 
@@ -319,7 +321,7 @@
 	buf_fmt(out, "\n%9s  %-60s most at\n", "lost", "reason");
 	HASH_ITER(hh, *reasons, r, next)
 	{
-		const struct row *at = most(endpoints, r->name);
+		const struct row *at = worst_endpoint(endpoints, r->name);
 
 		buf_fmt(out, "%9lu  %-60s", lost(r), r->name);
 		if (at)
@@ -330,7 +332,7 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size) */
-static void tell_seconds(struct row **seconds, struct buf *out)
+static void write_seconds(struct row **seconds, struct buf *out)
 {
 	struct row *r, *next;
 	int shown = 0;
@@ -345,38 +347,38 @@
 	}
 }
 
-static void count(const struct attempt_seen *a, struct row **routes,
+static void count(const struct loss_attempt *a, struct row **routes,
 		  struct row **reasons, struct row **endpoints,
 		  struct row **seconds)
 {
-	char reason[2 * NAME], at[3 * NAME];
+	char reason[2 * NAME_SIZE], at[3 * NAME_SIZE];
 
-	row_of(routes, a->route[0] ? a->route : "(none)")->n[a->outcome]++;
-	row_of(seconds, a->second)->n[a->outcome]++;
+	get_row(routes, a->route[0] ? a->route : "(none)")->n[a->outcome]++;
+	get_row(seconds, a->second)->n[a->outcome]++;
 	if (!is_loss(a->outcome))
 		return;
 	snprintf(reason, sizeof(reason), "%s%s%s", outcome_names[a->outcome],
 		 a->why[0] ? ": " : "", a->why);
-	row_of(reasons, reason)->n[a->outcome]++;
+	get_row(reasons, reason)->n[a->outcome]++;
 	if (!a->endpoint[0])
 		return;
 	snprintf(at, sizeof(at), "%s\t%s", reason, a->endpoint);
-	row_of(endpoints, at)->n[a->outcome]++;
+	get_row(endpoints, at)->n[a->outcome]++;
 }
 
-size_t losses_tell(struct losses *l, struct buf *out)
+size_t losses_report(struct losses *l, struct buf *out)
 {
 	struct row *routes = NULL, *reasons = NULL, *endpoints = NULL;
 	struct row *seconds = NULL;
-	struct attempt_seen *a, *next;
+	struct loss_attempt *a, *next;
 
 	HASH_ITER(hh, l->attempts, a, next)
 	{
 		count(a, &routes, &reasons, &endpoints, &seconds);
 	}
-	tell_routes(&routes, out);
-	tell_reasons(&reasons, endpoints, out);
-	tell_seconds(&seconds, out);
+	write_routes(&routes, out);
+	write_reasons(&reasons, endpoints, out);
+	write_seconds(&seconds, out);
 	free_rows(&routes);
 	free_rows(&reasons);
 	free_rows(&endpoints);
--- a/lib/edge/losses.h
+++ b/lib/edge/losses.h
@@ -25,7 +25,7 @@
 void losses_line(struct losses *l, const char *line);
 
 /* Lines that could not be read. */
-size_t losses_unread(const struct losses *l);
+size_t losses_unparsed(const struct losses *l);
 
 /* Seconds that the table names: those with the most losses. */
 #define LOSSES_SECONDS 10
@@ -35,6 +35,6 @@
  * most frequent first, with the endpoint that had most of them), and the
  * seconds with the most losses. Returns the number of requests.
  */
-size_t losses_tell(struct losses *l, struct buf *out);
+size_t losses_report(struct losses *l, struct buf *out);
 
 #endif
--- a/programs/explain.c
+++ b/programs/explain.c
@@ -102,12 +102,12 @@
 		losses_free(l);
 		return 2;
 	}
-	n = losses_tell(l, &out);
+	n = losses_report(l, &out);
 	if (n)
 		fputs(out.data, stdout);
 	else
 		fprintf(stderr, "marldock-explain: no line on a request\n");
-	say_unread(losses_unread(l));
+	say_unread(losses_unparsed(l));
 	losses_free(l);
 	return n ? 0 : 1;
 }
@@ -123,12 +123,12 @@
 		explain_free(x);
 		return 2;
 	}
-	found = explain_tell(x, &out);
+	found = explain_report(x, &out);
 	if (found)
 		fputs(out.data, stdout);
 	else
 		fprintf(stderr, "marldock-explain: no line on %s\n", o->id);
-	say_unread(explain_unread(x));
+	say_unread(explain_unparsed(x));
 	explain_free(x);
 	return found ? 0 : 1;
 }
--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -35,7 +35,7 @@
 	"",
 };
 
-static bool tell(const char *id, struct buf *out)
+static bool explain(const char *id, struct buf *out)
 {
 	struct explain *x = explain_create(id);
 	bool found;
@@ -43,8 +43,8 @@
 
 	for (i = 0; i < sizeof(lines) / sizeof(lines[0]); i++)
 		explain_line(x, lines[i]);
-	CU_ASSERT_EQUAL(explain_unread(x), 1);
-	found = explain_tell(x, out);
+	CU_ASSERT_EQUAL(explain_unparsed(x), 1);
+	found = explain_report(x, out);
 	explain_free(x);
 	return found;
 }
@@ -53,7 +53,7 @@
 {
 	BUF_AUTO out = BUF_INIT;
 
-	CU_ASSERT(tell("r1", &out));
+	CU_ASSERT(explain("r1", &out));
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "cause: keys not confirmed\n"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "store_away why=unknown"));
 	CU_ASSERT_PTR_NULL(strstr(out.data, "store_back"));
@@ -64,7 +64,7 @@
 	BUF_AUTO out = BUF_INIT;
 	const char *send, *end;
 
-	CU_ASSERT(tell("r2", &out));
+	CU_ASSERT(explain("r2", &out));
 	send = strstr(out.data, "edge-2 send endpoint=i-7");
 	end = strstr(out.data, "edge-2 cut");
 	CU_ASSERT(send && end && send < end);
@@ -78,7 +78,7 @@
 {
 	BUF_AUTO out = BUF_INIT;
 
-	CU_ASSERT(tell("r3", &out));
+	CU_ASSERT(explain("r3", &out));
 	CU_ASSERT_PTR_NOT_NULL(
 		strstr(out.data, "cause: endpoint i-9: endpoint silent\n"));
 }
@@ -89,10 +89,10 @@
 	BUF_AUTO none = BUF_INIT;
 	BUF_AUTO open = BUF_INIT;
 
-	CU_ASSERT(tell("r4", &out));
+	CU_ASSERT(explain("r4", &out));
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "the answer was passed"));
-	CU_ASSERT_FALSE(tell("r9", &none));
-	CU_ASSERT(tell("r5", &open));
+	CU_ASSERT_FALSE(explain("r9", &none));
+	CU_ASSERT(explain("r5", &open));
 	CU_ASSERT_PTR_NOT_NULL(strstr(open.data, "no end: "));
 }
 
--- a/tests/test_losses.c
+++ b/tests/test_losses.c
@@ -46,15 +46,15 @@
 	"",
 };
 
-static void tell(struct buf *out)
+static void report(struct buf *out)
 {
 	struct losses *l = losses_create();
 	size_t i;
 
 	for (i = 0; i < sizeof(lines) / sizeof(lines[0]); i++)
 		losses_line(l, lines[i]);
-	CU_ASSERT_EQUAL(losses_unread(l), 1);
-	CU_ASSERT_EQUAL(losses_tell(l, out), 10);
+	CU_ASSERT_EQUAL(losses_unparsed(l), 1);
+	CU_ASSERT_EQUAL(losses_report(l, out), 10);
 	losses_free(l);
 }
 
@@ -68,7 +68,7 @@
 {
 	BUF_AUTO out = BUF_INIT;
 
-	tell(&out);
+	report(&out);
 	/* a; b, c, d late; f refused; e failed; i cut; h open; j left. */
 	CU_ASSERT(has(&out, "ask                              9       1     "
 			    "3        1       1    1                     1  "
@@ -80,7 +80,7 @@
 {
 	BUF_AUTO out = BUF_INIT;
 
-	tell(&out);
+	report(&out);
 	CU_ASSERT(has(&out, "        1  late: first event "));
 	CU_ASSERT(has(&out, "        1  late: pause "));
 	CU_ASSERT(has(&out, "        1  late: answer "));
@@ -96,7 +96,7 @@
 	BUF_AUTO out = BUF_INIT;
 	const char *worst, *next;
 
-	tell(&out);
+	report(&out);
 	worst = strstr(out.data, "        3  of 3         2026-01-11T12:26:02");
 	next = strstr(out.data, "        2  of 3         2026-01-11T12:26:03");
 	CU_ASSERT(worst && next && worst < next);
@@ -108,7 +108,7 @@
 	struct losses *l = losses_create();
 	BUF_AUTO out = BUF_INIT;
 
-	CU_ASSERT_EQUAL(losses_tell(l, &out), 0);
+	CU_ASSERT_EQUAL(losses_report(l, &out), 0);
 	losses_free(l);
 }
 
