--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -1,4 +1,6 @@
-/* The duties of one entry at a time: calls to the platform, usage reports. */
+/*
+ * Duties of the duty holder: calls to the platform, usage reports.
+ */
 #include <assert.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -7,20 +9,26 @@
 #include "edge/edge_duty_internal.h"
 
 /*
- * A report is written so long after its window, when the counts of all
- * entries have arrived by datagram; entries that are cut off are waited for
- * until the second figure, within the ten seconds in which it is due.
+ * A report is written this long after the end of its window, if the counts of
+ * all entries have arrived by gossip. Counts of unreachable entries are awaited
+ * up to the maximum; the report is due 10 s after the window.
  */
 #define REPORT_MIN_DELAY_MS 1200
 #define REPORT_MAX_DELAY_MS 5500
 
-/* An entry's counts of a window are whole when told so long after its end. */
+/*
+ * An entry's counts of a window are complete if they were sent this long after
+ * its end.
+ */
 #define COUNTS_FINAL_MS 300
 
-/* Windows that are kept: the report's bound and some more. */
+/*
+ * Windows whose counts and stored reports are kept: those that may still be
+ * reported, and a few more.
+ */
 #define KEPT_WINDOWS 6
 
-/* Accounts in one report. */
+/* Maximum number of accounts in a report. */
 #define MAX_ACCOUNTS 256
 
 static const struct htc_limits cloud_limits = {
@@ -70,7 +78,6 @@
 static const struct htc_vtable cloud_vtable = { on_head, on_body, on_end,
 						on_failed };
 
-/* Sends at once: what holds now may not hold a moment later. */
 bool edge_duty_call(struct edge_duty *d, struct buf *wire)
 {
 	d->call_in_flight = true;
@@ -97,7 +104,7 @@
 		  r->account->name);
 }
 
-/* Every entry that lives has told its counts after the window's end. */
+/* True if all live entries sent their complete counts of the window. */
 static bool all_counts_received(const struct edge *en, int64_t window_end_ms)
 {
 	const struct prs_peer *p;
@@ -148,7 +155,7 @@
 	send_report(d);
 }
 
-/* Nothing is known to stand: the same window is written again. */
+/* The stored report is not known: schedules another write of the window. */
 static void retry_write(struct edge_duty *d)
 {
 	d->report_state = REPORT_IDLE;
@@ -173,7 +180,10 @@
 	snprintf(out, size, "%s%lld", EDGE_USAGE_PREFIX, (long long)window);
 }
 
-/* Somebody wrote the report before: what stands is what may be sent. */
+/*
+ * The report was already written, by a former holder or by a write whose answer
+ * was lost. Only the stored counts may be sent.
+ */
 static void read_back(struct edge_duty *d)
 {
 	char key[64];
@@ -201,9 +211,9 @@
 }
 
 /*
- * The counts are written down before they are sent, under the condition that
- * nobody wrote them yet and that we still hold the duty: a successor then
- * repeats them to the letter.
+ * The counts are stored before they are sent, so that the next holder repeats
+ * them unchanged. Conditions of the write: there is no report of the window
+ * yet, and this entry still holds the duties.
  */
 static void write_report(struct edge_duty *d)
 {
@@ -235,7 +245,7 @@
 	d->next_window = window + 1;
 	buf_reset(&d->report_counts);
 	if (!n)
-		return; /* nothing ran: nothing to report */
+		return; /* there were no runs */
 	en->wire->encode_usage_counts(totals, n, &d->report_counts);
 	write_report(d);
 }
@@ -261,9 +271,9 @@
 	if (d->next_window < current - max_windows)
 		d->next_window = current - max_windows;
 	/*
-	 * The store may have lost that a window was reported, and another
-	 * report of it, by other counts, must not follow: those that ended
-	 * before the store came back are left out.
+	 * Skips windows that ended before the store was restored: the store may
+	 * have lost their reports, and a window must not be reported again with
+	 * other counts.
 	 */
 	if (en->era.began_true_ms &&
 	    d->next_window < usage_window(&en->usage, en->era.began_true_ms))
@@ -280,7 +290,7 @@
 	begin_report(d, d->next_window);
 }
 
-/* ---- Life ---- */
+/* ---- End of a call, start and periodic work ---- */
 
 static void call_ended(struct edge_duty *d, int status)
 {
@@ -291,7 +301,7 @@
 		return;
 	}
 	log_report(d, "sent", status);
-	/* Only a clear answer ends it; else the same is sent again. */
+	/* A definite answer ends the report; else it is sent again. */
 	if (status == 200 || (status >= 400 && status < 500 && status != 429))
 		d->report_state = REPORT_IDLE;
 	else
@@ -317,7 +327,6 @@
 
 	if (!en->conf->cloud.address[0])
 		return;
-	/* A new holder orders what is wanted, whatever was ordered before. */
 	if (!en->lead.mine) {
 		edge_scale_reset(d);
 		if (!d->call_in_flight)
--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -1,88 +1,109 @@
 /*
- * What the duties' parts share: one call to the platform at a time, the
- * report in work, the orders of this holder.
+ * Declarations shared by the duties of the duty holder: edge_duty.c (usage
+ * reports), edge_scale.c (scaling) and edge_rollout_duty.c (roll-outs).
+ *
+ * The duty holder is the one entry that may call the platform. Each call
+ * carries its fencing token, so that the platform rejects a former holder.
  */
 #ifndef EDGE_DUTY_INTERNAL_H
 #define EDGE_DUTY_INTERNAL_H
 
 #include "edge/edge_internal.h"
 
-/* A call to the platform, within the time that a successor leaves for it. */
+/*
+ * Timeout of a call to the platform. Shorter than LEAD_SETTLE_MS, which a new
+ * holder waits before it acts, so that calls of two holders do not overlap.
+ */
 #define EDGE_DUTY_CALL_MS 600
+/* Delay before a failed call or write is retried. */
 #define EDGE_DUTY_RETRY_MS 300
 
+/* State of the current usage report. */
 enum edge_report_state {
 	REPORT_IDLE,
-	REPORT_WRITING, /* the report is written to the store */
-	REPORT_SENDING, /* and sent as written */
+	REPORT_WRITING, /* being written to the store */
+	REPORT_SENDING, /* being sent to the platform, as stored */
 };
 
+/* The orders for one kind of endpoints of a service in a zone. */
 struct edge_scale_order {
 	char service[FLT_NAME];
 	char zone[FLT_NAME];
-	bool reclaimable;
-	int accepted_number; /* last order_in_flight that was accepted; -1: none */
-	int64_t accepted_ms;
-	int64_t retry_after_ms;
+	bool reclaimable;	/* spot; false: on-demand */
+	int accepted_number;	/* of the last accepted order; -1: none */
+	int64_t accepted_ms;	/* when that was */
+	int64_t retry_after_ms; /* after a refusal: no order before */
 };
 
-/* What the plan of one service carries from look to look. */
+/* State of a service's scaling plan, kept from one evaluation to the next. */
 struct edge_plan {
 	char service[FLT_NAME];
 	struct scale_need need;
-	double firm_held; /* of those that stay, see scale_ease */
-	int64_t firm_held_ms;
+	double firm_held;     /* minimum of on-demand endpoints; scale_ease */
+	int64_t firm_held_ms; /* when it was last updated */
 };
 
 struct edge_duty {
 	struct edge *en;
-	struct htc_peer cloud;
-	bool call_in_flight; /* one call to the platform at a time */
+	struct htc_peer cloud; /* connections to the platform */
+	bool call_in_flight;   /* at most one call to the platform at a time */
 
 	enum edge_report_state report_state;
-	int64_t report_window; /* of the report in work */
-	struct buf report_counts;
-	int64_t next_window; /* the next to report; 0: not known */
-	int64_t next_attempt_ms;
+	int64_t report_window;	  /* usage window of the current report */
+	struct buf report_counts; /* its encoded counts */
+	int64_t next_window;	  /* reported next; 0: not known */
+	int64_t next_attempt_ms;  /* reports are not written or sent before */
 
 	struct edge_scale_order *orders;
 	size_t nr_orders;
-	bool call_is_order; /* the call under way is an order_in_flight */
-	struct edge_scale_order
-		*order_in_flight; /* which; NULL: forgotten meanwhile */
-	int ordered_number;
-	struct edge_plan *plans; /* a row a service */
+	bool call_is_order; /* the call in flight is an order */
+	/* That order; NULL: none, or orders were reset after it was sent. */
+	struct edge_scale_order *order_in_flight;
+	int ordered_number;	 /* number that it orders */
+	struct edge_plan *plans; /* one per service */
 	size_t nr_plans;
 	bool plan_write_in_flight;
-	int64_t plan_written_ms;
-	int status;
+	int64_t plan_written_ms; /* start of the last write of EDGE_PLAN_KEY */
+	int status;		 /* HTTP status of the call; 0: no answer yet */
 };
 
 /* ---- edge_duty.c ---- */
 
-/* True if a call of a duty may be sent now. */
+/*
+ * True if this entry holds the duties and its lease is certain to last long
+ * enough for a call.
+ */
 bool edge_duty_may_act(const struct edge *en);
 
-/* Sends at once: what holds now may not hold a moment later. */
+/*
+ * Starts a call to the platform with the whole request `wire`, which is taken
+ * over. Call it right after edge_duty_may_act, whose result soon expires, and
+ * only while no call is in flight. False: there was no socket, and nothing was
+ * sent.
+ */
 bool edge_duty_call(struct edge_duty *d, struct buf *wire);
 
-/* Holder and fence of a call. */
+/* This entry's name and fencing token, which each call carries. */
 struct wire_duty edge_duty_wire(const struct edge *en);
 
 /* ---- edge_scale.c ---- */
 
+/* Evaluates the plans of all services, and sends at most one order. */
 void edge_scale_tick(struct edge_duty *d, int64_t now);
 
-/* The order_in_flight under way ended with this status; 0: no answer. */
+/* The call of the order in flight ended. `status`: HTTP; 0: no answer. */
 void edge_scale_order_ended(struct edge_duty *d, int status);
 
-/* A new holder orders what is wanted, whatever was ordered before. */
+/*
+ * Discards all plans and orders. A new holder orders what its plan demands,
+ * regardless of what was ordered before.
+ */
 void edge_scale_reset(struct edge_duty *d);
 
-/* The same for one service, after its endpoints were replaced. */
+/* Forgets what was ordered for a service; its endpoints were replaced. */
 void edge_scale_reset_orders(struct edge_duty *d, const char *service);
 
-/* Number of endpoints that a service needs by its plan; 0: not known. */
+/* Number of endpoints that the service needs by its plan; 0: not known. */
 double edge_scale_need(const struct edge_duty *d, const char *service);
 
 #endif
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -1,17 +1,20 @@
-/* Our registration in the store under a lease, and the duties that hang on
- * it. */
+/*
+ * The lease of this entry: its registration in the store and the election of
+ * the duty holder are bound to it.
+ */
 #include <stdio.h>
 #include <string.h>
 
 #include "edge/edge_internal.h"
 
 /*
- * The lease of our registration. Callers are given our address until it
- * ends, so it is short; it is renewed three times in that time, and a
- * renewal counts as a tenth of a read.
+ * Duration of the lease. Short, since look-ups return the address of an entry
+ * that has exited until its lease expires. It is renewed three times in that
+ * time; the store counts a renewal as a tenth of a read.
  */
 #define LEASE_MS 3000
 #define RENEW_MS 900
+/* Delay after a call that failed. */
 #define LEASE_RETRY_MS 250
 
 void edge_lease_format_holder(const struct edge *en, char *out, size_t size)
@@ -144,7 +147,7 @@
 	sto_call(en->store, &c, sto_no_matter, NULL);
 }
 
-/* ---- Taking the duties ---- */
+/* ---- Election of the duty holder ---- */
 
 static void on_duty_taken(void *arg, struct sto_answer *a)
 {
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -1,5 +1,7 @@
-/* Per-entry part of roll-outs: selects the version for each request and counts
- * the outcomes. */
+/*
+ * The part of roll-outs that runs in each entry: selects the version for each
+ * request and counts the outcomes.
+ */
 #include <assert.h>
 #include <math.h>
 #include <stdlib.h>
@@ -9,24 +11,27 @@
 
 /*
  * An answer is late if it takes longer than the expected time times this
- * factor, plus a margin. The baseline's late answers are counted the same way.
+ * factor plus a margin, at the target and at the baseline alike.
  */
 #define LATE_FACTOR 3.0
 #define LATE_MARGIN_MS 40.0
 
-/* Maximum age of the records with which an entry sends trial requests. */
+/*
+ * An entry sends no trial requests if its watch of the records is older: a
+ * roll-back may have been missed.
+ */
 #define MAX_RECORD_AGE_MS 4500
 
-/* Minimum interval between immediate reports of bad answers to the holder. */
+/* Minimum interval between immediate reports to the duty holder. */
 #define MIN_NOTIFY_INTERVAL_MS 100
 
-/* How long a roll-rolled_back is repeated to other entries. */
+/* A roll-back is repeated in gossip for this long. */
 #define REPEAT_ROLLED_BACK_MS 60000
 
-/* Maximum endpoints of the target considered for a trial. */
+/* Maximum number of the target's endpoints considered for a trial. */
 #define MAX_TRIAL_CANDIDATES 1024
 
-/* Interval at which the endpoints of a trial are selected again. */
+/* Interval at which the endpoints of a trial are selected anew. */
 #define USE_UPDATE_INTERVAL_MS 500
 
 static bool enabled(const struct edge *en)
@@ -108,7 +113,7 @@
 
 /*
  * Selects trial endpoints by rendezvous hash: the same in all entries.
- * Returns the minimum weight of a selected endpoint; 0 selects all.
+ * Returns the minimum weight of a selected endpoint; 0: all are selected.
  */
 static uint64_t min_trial_weight(const struct edge *en,
 				 const struct edge_rollout *ro)
@@ -219,7 +224,7 @@
 	update_uses(en, ro);
 }
 
-/* True for an outdated record that would revert a roll-rolled_back. */
+/* True for an outdated record, which would revert a roll-back. */
 static bool is_outdated(const struct edge_rollout *ro,
 			const struct rol_record *r)
 {
@@ -239,11 +244,11 @@
 		edge_log_unreadable(en, key, "not a roll-out record");
 		return;
 	}
-	/* Ignores versions older than our own last write. */
+	/* Ignores versions older than this entry's last write. */
 	if (ro->recorded && version <= ro->record_version)
 		return;
 	ro->record_version = version;
-	/* A roll-rolled_back received by datagram may be missing from the store. */
+	/* A roll-back received by gossip may be missing from the store. */
 	ro->unwritten = is_outdated(ro, &r);
 	if (!ro->unwritten)
 		edge_rollout_apply(en, ro, &r);
@@ -253,14 +258,14 @@
 {
 	struct edge_rollout *ro = find(en, key + strlen(EDGE_ROLLOUT_PREFIX));
 
-	/* The record stays in effect; the holder writes it again. */
+	/* The record stays in effect; the duty holder writes it again. */
 	if (ro)
 		ro->record_version = 0;
 }
 
 /* ---- Requests ---- */
 
-/* Retries and requests with the same prompt prefix have the same key. */
+/* Equal for retries, and for requests with the same prompt prefix. */
 static uint64_t affinity_key(const struct edge_req *r)
 {
 	return r->attempt.shared_part ? r->attempt.shared_part : r->content.lo;
@@ -278,7 +283,7 @@
 {
 	const struct edge_rollout *ro;
 
-	/* Retries go to the former version. */
+	/* Retries and resumed streams go to the former version. */
 	if (!enabled(r->en) || r->nr_tried || r->rq.started)
 		return FLT_IN_USE;
 	ro = find(r->en, r->service->name);
@@ -306,7 +311,7 @@
 	tal_sent(&ro->own, r->tally.route, r->tally.group);
 }
 
-/* Reports bad answers at once, so that the holder can roll rolled_back. */
+/* Reports bad answers at once, so that the duty holder can roll back. */
 static void notify_holder(struct edge *en)
 {
 	const int64_t now = edge_now(en);
@@ -336,7 +341,10 @@
 {
 	const double took = (double)(edge_now(r->en) - r->sent_ms);
 
-	/* Resumed streams process no prompt, so their times are not comparable. */
+	/*
+	 * Migrated and resumed streams: their times are not comparable, since
+	 * they process no prompt.
+	 */
 	if (r->tally.answered || r->rq.at_copy || r->rq.started)
 		return;
 	r->tally.answered = true;
@@ -350,7 +358,7 @@
 	count_outcome(r, broken ? TAL_BROKEN : TAL_FAILED);
 }
 
-/* ---- Other entries ---- */
+/* ---- Gossip ---- */
 
 static void fill_tally(const struct edge_rollout *ro, struct gsp_record *out)
 {
@@ -415,7 +423,7 @@
 	}
 }
 
-/* Roll-backs are also sent by datagram: the store may be unavailable. */
+/* Roll-backs are also sent by gossip, since the store may be unavailable. */
 static void apply_rolled_back(struct edge *en, struct edge_rollout *ro,
 			      const struct gsp_record *r, int64_t now)
 {
@@ -449,7 +457,7 @@
 	}
 }
 
-/* ---- Plans ---- */
+/* ---- Scaling ---- */
 
 bool edge_rollout_is_shifting(const struct edge *en, const char *service)
 {
@@ -469,14 +477,14 @@
 	       e->use == FLT_WITHHELD;
 }
 
-/* ---- Life ---- */
+/* ---- Start and periodic work ---- */
 
 void edge_rollout_open(struct edge *en)
 {
 	CDS_INIT_LIST_HEAD(&en->rollouts);
 }
 
-/* During a trial, endpoints that ended are replaced periodically. */
+/* During a trial, endpoints that have exited are replaced periodically. */
 static bool uses_need_update(const struct edge_rollout *ro, int64_t now)
 {
 	return ro->uses_outdated ||
--- a/lib/edge/edge_rollout.h
+++ b/lib/edge/edge_rollout.h
@@ -1,13 +1,18 @@
 /*
- * Roll-outs of new versions (lib/rollout): interface to the rest of the entry.
- * Disabled if the settings have no exposure limit.
+ * edge_rollout: staged roll-outs of new versions (rollout/rollout.h), as the
+ * other files of the entry use them.
+ *
+ * Roll-outs are disabled if the settings have no exposure limit or no address
+ * of the platform: each function then does nothing, and all requests go to the
+ * version in use. Keys and values are those of the store and need no final NUL;
+ * `version` is the version of the key.
  */
 #ifndef EDGE_ROLLOUT_H
 #define EDGE_ROLLOUT_H
 
 #include "edge/edge_internal.h"
 
-/* Key prefix of the records in the store, one per service. */
+/* Key prefix of the roll-outs' records, one per service. */
 #define EDGE_ROLLOUT_PREFIX "md/rollout/"
 
 void edge_rollout_open(struct edge *en);
@@ -15,46 +20,56 @@
 
 /* ---- Store events ---- */
 
-/* An operator's order; only the holder of the duties watches these. */
+/*
+ * An operator's order was written, or was deleted. Only the duty holder watches
+ * these keys.
+ */
 void edge_rollout_order_seen(struct edge *en, const char *key,
 			     const char *value, size_t len, int64_t version);
 void edge_rollout_order_deleted(struct edge *en, const char *key);
 
-/* The record of a service. */
+/* The record of a service was written, or was deleted. */
 void edge_rollout_record_seen(struct edge *en, const char *key,
 			      const char *value, size_t len, int64_t version);
 void edge_rollout_record_deleted(struct edge *en, const char *key);
 
-/* An endpoint was listed: sets which requests it gets. */
+/* An endpoint was listed or changed: sets which requests it gets. */
 void edge_rollout_endpoint_listed(struct edge *en, struct flt_endpoint *e);
 
 /* ---- Requests ---- */
 
-/* Selects which endpoints the request may go to, before each send. */
+/* Returns the use of the endpoints that the request's next send may go to. */
 enum flt_use edge_rollout_use(const struct edge_req *r);
 
-/* The request was sent to r->endpoint. */
+/* The request was assigned to r->endpoint, to which it is sent next. */
 void edge_rollout_sent(struct edge_req *r);
 
-/* Its first event or its answer arrived; further calls have no effect. */
+/* Its first event or its answer arrived; later calls have no effect. */
 void edge_rollout_answered(struct edge_req *r);
 
-/* The request failed at the endpoint. `broken`: the connection broke. */
+/* The send failed at the endpoint. `broken`: the connection broke. */
 void edge_rollout_failed(struct edge_req *r, bool broken);
 
-/* ---- Other entries ---- */
+/* ---- Gossip ---- */
 
+/*
+ * Adds this entry's counts and recent roll-backs to a datagram; applies those
+ * of the entry `source` (edge_source).
+ */
 void edge_rollout_fill_gossip(struct edge *en, struct gsp_record *out,
 			      int64_t now);
 void edge_rollout_apply_gossip(struct edge *en, uint64_t source,
 			       const struct gsp_record *r, int64_t now);
 
-/* ---- Plans ---- */
+/* ---- Scaling ---- */
 
-/* True during a shift of all traffic, which suspends scaling. */
+/* True while all traffic is shifted, during which scaling is suspended. */
 bool edge_rollout_is_shifting(const struct edge *en, const char *service);
 
-/* True if the endpoint's version was replaced; the platform stops it. */
+/*
+ * True if the endpoint's version was replaced by a completed roll-out; the
+ * platform stops such endpoints.
+ */
 bool edge_rollout_is_replaced(const struct edge *en,
 			      const struct flt_endpoint *e);
 
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -1,26 +1,30 @@
-/* Decisions about roll-outs, made by the holder of the duties. */
+/* Decisions about roll-outs, made by the duty holder. */
 #include <math.h>
 #include <string.h>
 
 #include "edge/edge_duty_internal.h"
 #include "edge/edge_rollout_internal.h"
 
-/* Time until all entries have sent their counts twice to a new holder. */
+/* Time in which all entries send their counts twice to a new duty holder. */
 #define COUNTS_SETTLE_MS 1500
 
-/* Minimum delay before the next write. */
+/* Minimum delay between two writes. */
 #define WRITE_RETRY_MS 250
 
-/* Delay before a version that was listed without an order is used. */
+/*
+ * A version that is listed without an order is used after this delay, in which
+ * its order may still arrive.
+ */
 #define UNORDERED_DELAY_MS 5000
 
 /* ---- Observations ---- */
 
+/* Counts of a service's endpoints, by their version. */
 struct endpoint_sums {
-	int in_target, in_from;
-	int unordered; /* endpoints of neither version */
-	const char *unordered_version;
-	double former_running;
+	int in_target, in_from;	       /* listed and not draining */
+	int unordered;		       /* endpoints of neither version */
+	const char *unordered_version; /* of one of them */
+	double former_running;	       /* requests on endpoints of `from` */
 };
 
 static struct endpoint_sums sum_endpoints(const struct edge *en,
@@ -49,6 +53,7 @@
 	return s;
 }
 
+/* Adds the counts of all entries to `out`. */
 static void sum_counts(const struct edge_rollout *ro, struct tal *out)
 {
 	struct edge_peer_tally *t, *next;
@@ -58,7 +63,7 @@
 	tal_add(out, t->tally.rows, t->tally.nr_rows);
 }
 
-/* Minimum endpoints of the target to shift all traffic. */
+/* Minimum number of the target's endpoints to shift all traffic. */
 static int required_endpoints(const struct edge *en, const char *service,
 			      int in_from)
 {
@@ -75,7 +80,7 @@
 	struct edge_rollout *ro = arg;
 
 	ro->writing = false;
-	/* A roll-back may have been received while the write was under way. */
+	/* A roll-back may have been received during the write. */
 	ro->unwritten = a->outcome != STO_OK ||
 			ro->record.stage != ro->next.stage;
 	if (a->outcome == STO_OK)
@@ -98,7 +103,7 @@
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
 	c.conditions[1] =
 		(struct sto_condition){ buf_cstr(&key), ro->record_version };
-	if (ro->next.stage != ROL_UNORDERED) /* no order: no status to write */
+	if (ro->next.stage != ROL_UNORDERED) /* no order, no status */
 		c.rows[c.nr_rows++] = (struct sto_row){ buf_cstr(&status_key),
 							status.data, status.len,
 							0 };
@@ -110,7 +115,7 @@
 	sto_call(en->store, &c, on_written, ro);
 }
 
-/* Writes a status that tells the operator why the order is refused. */
+/* Refuses an order; its status tells the operator why. */
 static void refuse_order(struct edge *en, struct edge_rollout *ro, int64_t now)
 {
 	BUF_AUTO key = BUF_INIT;
@@ -140,7 +145,7 @@
 
 /* ---- Decisions ---- */
 
-/* True if the watch of orders is complete. */
+/* True if all orders were read since this entry holds the duties. */
 static bool orders_known(const struct edge *en)
 {
 	const struct edge_watch *w = &en->watches[EDGE_WATCH_ROLLOUTS];
@@ -187,8 +192,10 @@
 		met_inc(en->m.rollouts_rolled_back);
 }
 
-/* Applies ro->next locally and sends it to other entries through the store, and
- * roll-backs by datagram too. */
+/*
+ * Applies ro->next here and writes it to the store, where the other entries
+ * read it. Roll-backs are sent by gossip, too.
+ */
 static void carry_out_step(struct edge *en, struct edge_rollout *ro,
 			   const struct rol_observation *s, int64_t now)
 {
@@ -204,7 +211,10 @@
 		edge_peer_broadcast(en, now);
 }
 
-/* Accepts a version listed without an order, if no roll-out is in progress. */
+/*
+ * Accepts a version that was listed without an order for UNORDERED_DELAY_MS.
+ * Sets ro->next and returns true when it is due.
+ */
 static bool accept_unordered(struct edge_rollout *ro,
 			     const struct endpoint_sums *sums,
 			     const struct rol_observation *s, int64_t now)
@@ -229,7 +239,7 @@
 	return true;
 }
 
-/* Computes ro->next; true if it has to be carried out. */
+/* Sets ro->next; true if it has to be carried out. */
 static bool decide(struct edge *en, struct edge_rollout *ro,
 		   const struct endpoint_sums *sums,
 		   const struct rol_observation *s, int64_t now)
@@ -287,8 +297,10 @@
 		refuse_order(en, ro, now);
 		return;
 	}
-	/* The store may lack it after a restore, a failed write, or a roll-back
-	 * that was received by datagram. */
+	/*
+	 * The store may lack the record after it was restored, after a failed
+	 * write, or if a roll-back was received by gossip.
+	 */
 	if (ro->recorded && ro->record.order &&
 	    (ro->unwritten || !ro->record_version)) {
 		ro->next = ro->record;
@@ -335,7 +347,7 @@
 
 void edge_rollout_order_deleted(struct edge *en, const char *key)
 {
-	/* After a restore of the store, operators write lost orders again. */
+	/* The restored store may have lost it; operators write it again. */
 	if (en->watches[EDGE_WATCH_ROLLOUTS].resyncing)
 		return;
 	edge_rollout_of(en, key + strlen(en->wire->rollout_prefix))->ordered =
--- a/lib/edge/edge_rollout_internal.h
+++ b/lib/edge/edge_rollout_internal.h
@@ -1,15 +1,17 @@
-/* Shared by the per-entry part (edge_rollout.c) and the decisions of the holder
- * (edge_rollout_duty.c). */
+/*
+ * Declarations shared by the part of roll-outs that runs in each entry
+ * (edge_rollout.c) and the decisions of the duty holder (edge_rollout_duty.c).
+ */
 #ifndef EDGE_ROLLOUT_INTERNAL_H
 #define EDGE_ROLLOUT_INTERNAL_H
 
 #include "base/tab.h"
 #include "edge/edge_rollout.h"
 
-/* Counts reported by another entry. */
+/* The latest counts of another entry. */
 struct edge_peer_tally {
 	UT_hash_handle hh; /* in edge_rollout.peer_tallies */
-	uint64_t source;
+	uint64_t source;   /* edge_source() of that entry */
 	struct tal tally;
 };
 
@@ -19,38 +21,38 @@
 	char service[FLT_NAME];
 	char established[FLT_NAME]; /* version that serves; "": none listed */
 	int64_t established_started_ms; /* start of its first endpoint */
-	bool uses_outdated;		/* listed endpoints await an update */
+	bool uses_outdated; /* the endpoints' uses await an update */
 	int64_t uses_updated_ms;
-	bool recorded;
+	bool recorded; /* `record` is set */
 	struct rol_record record;
 	int64_t record_version; /* of its key in the store; 0: not there */
 	bool unwritten;		/* record may be missing from the store */
-	struct tal own;
+	struct tal own;		/* counts of this entry */
 	struct edge_peer_tally *peer_tallies;
 
-	/* Used by the holder of the duties only. */
-	bool ordered;
-	bool order_valid;
+	/* Used by the duty holder only. */
+	bool ordered;	  /* an order is in the store */
+	bool order_valid; /* else order_error says why not */
 	struct rol_order order;
 	char order_error[ROL_WHY];
-	int64_t refused_version; /* of the last order refused */
-	int64_t unordered_since_ms; /* when a version without an order was first listed */
-	bool writing;
-	int64_t next_write_ms; /* no write before this time */
-	struct rol_record next;
+	int64_t refused_version;    /* of the last refused order */
+	int64_t unordered_since_ms; /* a version is listed without order; 0: no */
+	bool writing;		    /* a write of the record is in flight */
+	int64_t next_write_ms;	    /* no write before this time */
+	struct rol_record next;	    /* the record that is being written */
 };
 
-/* Returns the state of a service, created on first use. */
+/* Returns the state of a service, created on first use and never freed. */
 struct edge_rollout *edge_rollout_of(struct edge *en, const char *service);
 
-/* The version that serves, from the record or else from the endpoint list. */
+/* The version that serves, by the record, or else by the list of endpoints. */
 const char *edge_rollout_serving(const struct edge_rollout *ro);
 
-/* Replaces the record by `next` and updates the endpoints. */
+/* Replaces the record by `next` and updates the endpoints' uses. */
 void edge_rollout_apply(struct edge *en, struct edge_rollout *ro,
 			const struct rol_record *next);
 
-/* Decides the next step for one service. */
+/* Decides and carries out the next step for a service, if one is due. */
 void edge_rollout_decide(struct edge *en, struct edge_rollout *ro, int64_t now);
 
 #endif
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -1,5 +1,7 @@
-/* Orders for endpoints: what the plan wants, against what was ordered and
- * what is there. */
+/*
+ * Scaling by the duty holder: plans the number of endpoints of each service and
+ * zone (scale.h), and orders from the platform what is missing or surplus.
+ */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,14 +9,18 @@
 #include "edge/edge_duty_internal.h"
 #include "edge/edge_rollout.h"
 
-/* Granted endpoints count as missing this long after their start-up time. */
+/*
+ * Granted endpoints that are not listed this long after their start-up time
+ * count as missing.
+ */
 #define START_MARGIN_MS 1000
 
-/* A zone without capacity is not asked again before. */
+/* Delay before the next order after a zone had no capacity (status 409). */
 #define NO_CAPACITY_RETRY_MS 2500
 
 /* ---- Orders ---- */
 
+/* Returns the row of these orders, created on first use. */
 static struct edge_scale_order *get_order(struct edge_duty *d,
 					  const char *service, const char *zone,
 					  bool reclaimable)
@@ -39,39 +45,40 @@
 	return o;
 }
 
+/* Returns the plan of a service, created on first use. */
 static struct edge_plan *get_plan(struct edge_duty *d, const char *service,
 				  int64_t now)
 {
-	const struct carry_row *before;
-	struct edge_plan *row;
+	const struct carry_row *former;
+	struct edge_plan *plan;
 	size_t i;
 
 	for (i = 0; i < d->nr_plans; i++) {
 		if (!strcmp(d->plans[i].service, service))
 			return &d->plans[i];
 	}
-	d->plans = realloc(d->plans, (d->nr_plans + 1) * sizeof(*row));
+	d->plans = realloc(d->plans, (d->nr_plans + 1) * sizeof(*plan));
 	assert(d->plans);
-	row = &d->plans[d->nr_plans++];
-	memset(row, 0, sizeof(*row));
-	str_copy(row->service, service, sizeof(row->service));
-	row->firm_held_ms = now;
-	/* The former holder's plan, from the store. */
-	before = d->en->conf->policy.carry_plan
+	plan = &d->plans[d->nr_plans++];
+	memset(plan, 0, sizeof(*plan));
+	str_copy(plan->service, service, sizeof(plan->service));
+	plan->firm_held_ms = now;
+	/* Continues the plan of the former holder, from the store. */
+	former = d->en->conf->policy.carry_plan
 			 ? carry_find(&d->en->plan, service)
 			 : NULL;
-	if (before) {
-		row->need = before->need;
-		row->firm_held = before->firm_held;
+	if (former) {
+		plan->need = former->need;
+		plan->firm_held = former->firm_held;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "plan_begun");
 	jlog_str(d->en->log, "service", service);
-	jlog_bool(d->en->log, "carried", before != NULL);
-	jlog_num(d->en->log, "need", row->need.need);
-	jlog_num(d->en->log, "usual", row->need.usual);
+	jlog_bool(d->en->log, "carried", former != NULL);
+	jlog_num(d->en->log, "need", plan->need.need);
+	jlog_num(d->en->log, "usual", plan->need.usual);
 	jlog_int(d->en->log, "fence", d->en->lead.fence);
 	jlog_end(d->en->log);
-	return row;
+	return plan;
 }
 
 void edge_scale_reset(struct edge_duty *d)
@@ -116,7 +123,7 @@
 
 	if (!edge_duty_may_act(en) || d->call_in_flight)
 		return;
-	/* Orders include the endpoints of all versions. */
+	/* An order states the number of endpoints of all versions. */
 	en->wire->encode_scale(&w, o->service, o->zone, o->reclaimable,
 			       number + (o->reclaimable
 						 ? z->spot_other_version
@@ -170,19 +177,23 @@
 }
 
 /*
- * The need until the load shows, as a part of what the operators allow in all
- * zones, so that the first wave finds prompt caches on enough endpoints. Those
- * that run are no guide: they register one after the other.
+ * The initial need, until there is load, is the configured maximum of all zones
+ * divided by this, so that the first burst finds enough endpoints with prompt
+ * caches. The number of running endpoints is not used as an estimate, since
+ * they register one after the other.
  */
 #define FIRST_MAX_DIVISOR 6.0
 
-/* Part of the running endpoints that a new holder takes for needed at least. */
+/*
+ * A new holder assumes that at least the number of running endpoints divided by
+ * this is needed.
+ */
 #define FIRST_RUNNING_DIVISOR 3.0
 
-/* What runs at a service's endpoints, and how many of them may be used. */
+/* The load of a service's endpoints, over all entries. */
 struct edge_service_load {
-	double runs;
-	int usable;
+	double runs;  /* requests that run */
+	int usable;   /* endpoints that get new requests */
 	double slots; /* of one endpoint */
 };
 
@@ -202,7 +213,7 @@
 	return w;
 }
 
-/* Prompt tokens to be read a second, of the requests at all entries. */
+/* Prompt tokens per second to be processed, of the requests at all entries. */
 static double total_prefill_rate(struct edge *en, const struct svc *s,
 				 int64_t now)
 {
@@ -222,9 +233,9 @@
 }
 
 /*
- * Time to read a thousand tokens, over all entries: of many entries each sees
- * few answers, and plans that rest on the slope of one differ by half. The
- * holder of the duties is always told what its peers learned.
+ * Prefill time of 1000 tokens, ms: the mean of the entries' estimates. With
+ * many entries each sees few answers, and plans by the estimate of one differed
+ * by half. Peers always send their estimates to the duty holder.
  */
 static double mean_prefill_ms(struct edge *en, const struct svc *s, int64_t now)
 {
@@ -247,7 +258,7 @@
 	return svc_slope_mean(&mean);
 }
 
-/* Endpoints that the load keeps busy, as far as it is known. */
+/* Number of endpoints that the known load keeps busy. */
 static double busy_endpoints(struct edge *en, const struct cfg_service *s,
 			     const struct edge_service_load *w)
 {
@@ -264,7 +275,7 @@
 	return svc_busy(m, &load, fit);
 }
 
-/* Endpoints of an order that were granted and may still be starting. */
+/* Endpoints of an accepted order that may still be starting. */
 static int starting_endpoints(const struct edge_scale_order *o, int there,
 			      int64_t boot_ms, int64_t now)
 {
@@ -288,6 +299,7 @@
 		*(other_version ? &z->firm_other_version : &z->firm) += 1;
 }
 
+/* Fills in the state of the service's zones; returns their number. */
 static size_t collect_zones(struct edge_duty *d, const struct cfg_service *s,
 			    struct scale_zone *zones)
 {
@@ -321,6 +333,7 @@
 	return n;
 }
 
+/* Sends an order if the last one does not cover the plan; true: it was due. */
 static bool place_order(struct edge_duty *d, const struct cfg_service *s,
 			const struct scale_zone *z, bool reclaimable)
 {
@@ -332,12 +345,12 @@
 
 	if (now < o->retry_after_ms)
 		return false;
-	/* There never were any, and none are wanted. */
+	/* Nothing was ordered, nothing runs, and nothing is planned. */
 	if (o->accepted_number < 0 && !number && !have)
 		return false;
 	/*
-	 * Reclaimed endpoints do not come back: what is missing after the
-	 * start-up time is ordered again.
+	 * The platform does not replace reclaimed endpoints: those missing
+	 * after the start-up time are ordered again.
 	 */
 	if (o->accepted_number == number &&
 	    (have >= number ||
@@ -348,8 +361,8 @@
 }
 
 /*
- * A new holder knows nothing of the load before: it begins with what is
- * there, and with what the operators' bounds suggest.
+ * Updates the need by the current load. A new holder does not know the load of
+ * the past: it starts from the running endpoints and the configured maximum.
  */
 static void update_need(struct edge_duty *d, const struct cfg_service *s,
 			struct scale_need *need, const struct scale_zone *z,
@@ -367,8 +380,11 @@
 	scale_look(need, busy_endpoints(d->en, s, &w), w.usable, first);
 }
 
-/* Plans again if on-demand endpoints would go too fast. */
-static void limit_firm_removal(struct edge_plan *d, struct scale_input *in,
+/*
+ * Plans again with a higher minimum if on-demand endpoints would be removed too
+ * fast (scale_ease).
+ */
+static void limit_firm_removal(struct edge_plan *plan, struct scale_input *in,
 			       struct scale_zone *zones, size_t n)
 {
 	int wanted = 0;
@@ -376,12 +392,12 @@
 
 	for (i = 0; i < n; i++)
 		wanted += zones[i].want_firm;
-	d->firm_held = in->idle || !in->ease
-			       ? wanted
-			       : scale_ease(d->firm_held, wanted,
-					    in->now_ms - d->firm_held_ms);
-	d->firm_held_ms = in->now_ms;
-	in->firm_least = (int)d->firm_held;
+	plan->firm_held = in->idle || !in->ease
+				  ? wanted
+				  : scale_ease(plan->firm_held, wanted,
+					       in->now_ms - plan->firm_held_ms);
+	plan->firm_held_ms = in->now_ms;
+	in->firm_least = (int)plan->firm_held;
 	if (in->firm_least > wanted)
 		scale_plan(in, zones, n);
 }
@@ -400,17 +416,17 @@
 		.loss_cover = d->en->conf->policy.loss_cover,
 		.ease = d->en->conf->policy.ease,
 	};
-	struct edge_plan *row = get_plan(d, s->name, now);
+	struct edge_plan *plan = get_plan(d, s->name, now);
 	size_t i;
 
-	update_need(d, s, &row->need, zones, n);
-	in.idle = d->en->conf->first_start && !row->need.loaded;
-	in.busy = row->need.need;
-	/* One for each zone at least, for their prompt caches. */
-	in.need = row->need.need < (double)n ? (double)n : row->need.need;
+	update_need(d, s, &plan->need, zones, n);
+	in.idle = d->en->conf->first_start && !plan->need.loaded;
+	in.busy = plan->need.need;
+	/* At least one per zone, so that each zone keeps a prompt cache. */
+	in.need = plan->need.need < (double)n ? (double)n : plan->need.need;
 	scale_plan(&in, zones, n);
-	limit_firm_removal(row, &in, zones, n);
-	/* Additions go before removals. */
+	limit_firm_removal(plan, &in, zones, n);
+	/* Additions are ordered before removals. */
 	for (i = 0; i < n; i++) {
 		if (zones[i].want_spot > zones[i].spot &&
 		    place_order(d, s, &zones[i], true))
@@ -425,14 +441,14 @@
 
 /* ---- The plan for the next holder ---- */
 
-/* The plan is written this often at most: each writing is a priced call. */
+/* Minimum interval between writes of the plan; each is billed. */
 #define PLAN_WRITE_INTERVAL_MS 2000
 
 static void on_plan_written(void *arg, struct sto_answer *a)
 {
 	struct edge_duty *d = arg;
 
-	/* If it failed, the next look finds that the record still differs. */
+	/* After a failure the record still differs, and is written again. */
 	d->plan_write_in_flight = false;
 	if (a->outcome != STO_OK)
 		met_inc(d->en->m.store_failures);
