--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -1,10 +1,14 @@
-/* The configuration: reading it, and confirming that it is the newest. */
+/*
+ * The configuration in force: reads it from the store or from the leader, and
+ * confirms by calls to the store that it is the newest version (vfy.h).
+ */
 #include "base/zip.h"
 #include "edge/edge_internal.h"
 
 /*
- * Another entry is given so long to have the version, and its answer so much
- * longer. Both are taken from the time in which a change must be in force.
+ * How long the leader may wait for a version that it does not have yet, and the
+ * margin for its answer. Both count against the time in which a change must be
+ * in force.
  */
 #define PEER_WAIT_MS 200
 #define PEER_MARGIN_MS 200
@@ -24,15 +28,16 @@
 }
 
 /*
- * The last good version stays in force if this one cannot be read, or is older
- * since the store came back from a copy. Returns true if this one is in force.
+ * Puts a version into force. The last good version stays in force if the new
+ * one cannot be decoded, or is older since the store was restored from an older
+ * copy. Returns true if the version of `it` is in force.
  */
 static bool apply_config(struct edge *en, const struct sto_item *it,
 			 int64_t asked_ms)
 {
 	struct err e = ERR_INIT;
 	struct cfg *c = en->wire->decode_config(it->value, it->len, &e);
-	/* Nobody named it yet, and it is not our first one: others lack it. */
+	/* Not announced by another entry, and not the first one after start. */
 	const bool announce = c && en->force.cfg &&
 			      c->version > en->force.wanted;
 	int64_t version;
@@ -72,9 +77,8 @@
 }
 
 /*
- * Keeps what was read for the entries that follow us, in the form in which a
- * watch of the store brings it. What is larger than the changes that are
- * passed on each of them reads from the store (see FEED_MAX_BYTES).
+ * Keeps the configuration for followers, in the form of a watch's answer. If it
+ * is larger than FEED_MAX_BYTES, each follower reads it from the store.
  */
 static void keep_copy(struct edge *en, const struct sto_answer *a,
 		      bool from_watch)
@@ -97,7 +101,10 @@
 	edge_serve_followers(en, edge_now(en));
 }
 
-/* `at_ms`: when it was the newest version; 0: that is not known. */
+/*
+ * A version was received. `at_ms`: when it was the newest; 0: not known.
+ * `from_watch`: `a` has the form of a watch's answer.
+ */
 static void config_received(struct edge *en, const struct sto_answer *a,
 			    const struct sto_item *it, int64_t at_ms,
 			    bool from_watch)
@@ -120,8 +127,9 @@
 		return;
 	}
 	/*
-	 * The store may have come back from a copy just now, and its version
-	 * be older than what all others have in force: we know of none.
+	 * The store may have just been restored, with a version older than the
+	 * one that the other entries have in force. An entry without any
+	 * version cannot tell, so it waits until the era has settled.
 	 */
 	if (a->outcome != STO_OK || !it ||
 	    (!en->force.cfg && !edge_era_settled(en, edge_now(en)))) {
@@ -143,7 +151,7 @@
 	struct edge *en = arg;
 	const struct sto_item *it = find_config(en, a);
 
-	/* Changes since a revision of an earlier era are none. */
+	/* An answer to a revision of an earlier era proves nothing. */
 	if (a->outcome == STO_HISTORY_LOST ||
 	    (a->outcome == STO_OK && ver_era(en->vfy.revision) != a->era)) {
 		vfy_history_lost(&en->vfy);
@@ -198,7 +206,7 @@
 			      .revision = en->vfy.revision };
 	enum vfy_call call;
 
-	/* Whether the store came back just now stands among our own keys. */
+	/* The system keys tell whether the store has just been restored. */
 	if (!en->force.cfg && !en->watches[EDGE_WATCH_SYSTEM].mirror.whole)
 		return;
 	call = vfy_next(&en->vfy, &s, now, &c.wait_ms);
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -1,10 +1,10 @@
 /*
- * The store came back from an older copy: what was written since is gone, and
- * what this entry knows from before is no longer what the store says.
+ * Detection of a store that was restored from an older copy: later writes are
+ * lost, and what this entry read before may differ from the store's content.
  *
- * One notices by the era in the store's answers, or hears it from other
- * entries. An entry that starts right after cannot tell from that alone, so
- * the era, and when it began, stands in the store as well.
+ * A restore shows as a new era in the store's answers, or in gossip. An entry
+ * that starts soon after cannot detect it by either, so the era and its begin
+ * are also recorded in the store (EDGE_ERA_KEY).
  */
 #include <stdio.h>
 #include <string.h>
@@ -13,20 +13,27 @@
 #include "edge/edge_internal.h"
 
 /*
- * Operators and endpoints write again what they wrote, within some two
- * seconds; until then no answer says which configuration is the newest.
+ * Operators and endpoints repeat their lost writes within about 2 s. Until
+ * then, no answer of the store proves which configuration is the newest.
  */
 #define SETTLE_MS 2500
 
-/* Of the writes that the store bears, writes entries together take so many. */
+/* Share of the store's writes per second that all entries together may use. */
 #define WRITE_SHARE 0.5
 
-/* Registering anew: a lease, and the key that hangs on it. */
+/* Writes to register again: a lease, and the key that is bound to it. */
 #define WRITES_PER_ENTRY 2
 
-/* The record is written by the entry that ranks first, again if it is not seen. */
+/*
+ * The entry of watch rank 0 writes the record, and again after this time until
+ * its watch has shown it.
+ */
 #define RECORD_RETRY_MS 1000
 
+/*
+ * Random delay before this entry registers again, so that all entries together
+ * stay within their share of the store's writes.
+ */
 static int64_t random_delay_ms(struct edge *en, int64_t now)
 {
 	const double per_s = (double)en->conf->store.writes_per_s * WRITE_SHARE;
@@ -96,12 +103,12 @@
 	JSN_AUTO *o = jsn_parse(value, len);
 
 	if (!o) {
-		edge_log_unreadable(en, EDGE_ERA_KEY, "no record of an era");
+		edge_log_unreadable(en, EDGE_ERA_KEY, "not a record of an era");
 		return;
 	}
 	en->era.record_version = version;
 	en->era.recorded_era = jsn_int(o, "era", 0);
-	/* The first to note it was sooner than we. */
+	/* The entry that wrote it detected the restore earlier. */
 	if (en->era.recorded_era == sto_era(en->store))
 		en->era.began_true_ms = jsn_int(o, "at_ms", 0);
 }
@@ -113,8 +120,9 @@
 }
 
 /*
- * All keys of ours were read for the first time. If nobody has noted this era
- * yet it may have begun just now.
+ * The system keys were read for the first time. If this era is not recorded, it
+ * may have begun just now; except at the very first start, when there is no
+ * earlier state to lose.
  */
 static void on_first_read(struct edge *en, int64_t now)
 {
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -1,4 +1,8 @@
-/* Other entries: datagrams of facts. */
+/*
+ * Gossip: each entry sends its state to the others in UDP datagrams (gsp.h),
+ * and sums up what it received. Datagrams are not acknowledged; a later one
+ * replaces those that were lost.
+ */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <stdio.h>
@@ -10,43 +14,48 @@
 #include "base/hsh.h"
 #include "edge/edge_rollout.h"
 
-/* Peers that are told in one round. */
+/* Peers that are sent a datagram in each gossip round. */
 #define PEERS_PER_ROUND 8
 
-/* With more peers each is told at least this often. */
+/*
+ * With many peers, a round has more datagrams, so that no peer waits longer
+ * than this for the next one.
+ */
 #define MAX_SEND_INTERVAL_MS 600
+/* Interval between rounds (GOSSIP_INTERVAL_MS in edge.c). */
 #define ROUND_INTERVAL_MS 200
 
-/* Datagrams read in one turn of the loop. */
+/* Maximum number of datagrams read per wake-up of the event loop. */
 #define READ_BATCH 64
 
 /*
- * What was learned of the endpoints is told to an entry until it was heard
- * for so long: three rounds, of which one may be lost. The entries that keep
- * all counts are always told, since one of them orders endpoints by it.
+ * A peer counts as new for this long after its first datagram, and is sent the
+ * latency models meanwhile: in three rounds, of which one may be lost. Peers
+ * that keep all counts are always sent them, since one of them, the duty
+ * holder, orders endpoints by them.
  */
 #define NEW_PEER_MS 2000
 
-/* Time constant of the mean of the prompts that peers report as being read. */
+/* Time constant of the mean of the prefill tokens that peers report. */
 #define REPORTED_LOAD_MS 2000.0
 
 /*
- * Demands elsewhere are taken as current while more than this part of the
- * entries was heard lately: with a whole zone of four lost they still are,
- * and an entry that hears nobody judges accounts by its own part alone.
+ * The demands of other entries count as current if more than this share of the
+ * entries is alive. They still do when one of four zones is lost. An entry that
+ * receives no gossip limits accounts by its own share alone.
  */
 #define CURRENT_SHARE 0.7
 
-/* Demands below this are not told. */
+/* Lower demands of an account are not sent. */
 #define MIN_DEMAND_PER_S 0.01
 
-/* Windows of usage that are told: the present one and those before it. */
+/* Usage windows whose counts are sent: the current one and those before it. */
 #define GOSSIP_WINDOWS 3
 
-/* Estimates of the time of day from peers heard within a second. */
+/* Maximum number of live peers' clocks that this one is compared with. */
 #define MAX_CLOCK_ESTIMATES 64
 
-/* ---- What we tell ---- */
+/* ---- Outgoing datagrams ---- */
 
 static void fill_demands(struct edge *en, struct gsp_record *r, int64_t now)
 {
@@ -91,7 +100,7 @@
 	}
 }
 
-/* True if somebody else tells the counts of this source itself. */
+/* True if the source is a live peer, which sends its counts itself. */
 static bool source_is_alive(const struct edge *en, uint64_t source)
 {
 	const struct prs_peer *p;
@@ -128,8 +137,8 @@
 }
 
 /*
- * What a dead process counted is passed on: an entry that started after its
- * death may be the one that reports.
+ * Counts of processes that have exited are passed on, since the entry that
+ * reports the usage may have started later.
  */
 static void add_dead_count(uint64_t source, int64_t window, const char *account,
 			   int64_t runs, void *arg)
@@ -164,20 +173,21 @@
 	fill_services(en, r, now);
 	edge_fatal_fill_gossip(en, r, now);
 	edge_rollout_fill_gossip(en, r, now);
-	/* Our own first: nobody else tells them. */
+	/* This entry's counts come first, since no other entry sends them. */
 	usage_each(&en->usage, from, add_own_count, en);
 	usage_each(&en->usage, from, add_dead_count, en);
 }
 
-/* Old news that is repeated in each datagram to those that had it. */
+/* Known suspects that are repeated in each datagram, after the new ones. */
 #define REPEATED_SUSPECTS 2
 
-/* It may have started just now, and know nothing of the endpoints. */
+/* The peer may have just started, without models and suspects. */
 static bool is_new_peer(const struct prs_peer *p, int64_t now)
 {
 	return now - p->met_ms < NEW_PEER_MS;
 }
 
+/* Sends en->gossip_out to a peer, without the parts that it does not need. */
 static void send_to(struct edge *en, const struct prs_peer *p, int64_t now)
 {
 	const unsigned counts = en->gossip_out.nr_counts;
@@ -196,14 +206,14 @@
 	if (!is_new_peer(p, now) &&
 	    fatal > en->nr_fatal_news + REPEATED_SUSPECTS)
 		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_SUSPECTS;
-	/* Long names may not fit: then less is told. */
+	/* Drops rows if it does not fit, which long names may cause. */
 	while (!(n = gsp_encode(&en->gossip_out, bytes, sizeof(bytes))) &&
 	       en->gossip_out.nr_counts + en->gossip_out.nr_loads) {
 		en->gossip_out.nr_counts /= 2;
 		en->gossip_out.nr_loads /= 2;
 		en->gossip_out.nr_services /= 2;
 	}
-	/* A lost datagram costs nothing: the next one says more. */
+	/* Errors are ignored: the next datagram has all of it again. */
 	if (n)
 		sendto(en->gossip_fd, bytes, n, MSG_DONTWAIT | MSG_NOSIGNAL,
 		       (const struct sockaddr *)&p->addr, sizeof(p->addr));
@@ -250,9 +260,12 @@
 	send_to(en, p, now);
 }
 
-/* ---- What we apply_record ---- */
+/* ---- Incoming datagrams ---- */
 
-/* Of services that the configuration names, so that others cost nothing. */
+/*
+ * Adopts a peer's model of a service, if the service is configured: others must
+ * not take up memory.
+ */
 static void adopt_model(struct edge *en, const struct svc_told *told)
 {
 	const struct cfg *c = en->force.cfg;
@@ -343,22 +356,22 @@
 }
 
 /*
- * A prompt is read within some tens of milliseconds, and peers tell of it
- * every few hundred: what was told is mostly over, and most of what waits now
- * was never told. Its mean over some seconds says how much waits there
- * usually.
+ * Averages the prefill tokens that peers reported. A prefill takes some tens of
+ * milliseconds, and reports come every few hundred: most reported prefills are
+ * over, and most of those that wait were never reported. The mean over a few
+ * seconds estimates how much usually waits.
  */
 static void smooth_loads(struct edge *en, int64_t now)
 {
-	const double decay = en->conf->policy.mean_reports
-				     ? fade_left(REPORTED_LOAD_MS,
-						 en->loads_averaged_ms, now)
-				     : 0;
+	const double weight = en->conf->policy.mean_reports
+				      ? fade_left(REPORTED_LOAD_MS,
+						  en->loads_averaged_ms, now)
+				      : 0;
 	struct flt_endpoint *e;
 
 	en->loads_averaged_ms = now;
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
-		flt_smooth_peer_prefill(e, decay);
+		flt_smooth_peer_prefill(e, weight);
 }
 
 void edge_peer_sum_loads(struct edge *en, int64_t now)
@@ -387,6 +400,7 @@
 	smooth_loads(en, now);
 }
 
+/* Corrects this entry's time of day if it differs from the peers' median. */
 static void compare_clocks(struct edge *en, int64_t now)
 {
 	int64_t offsets[MAX_CLOCK_ESTIMATES + 1] = { 0 };
@@ -401,7 +415,7 @@
 	by = truth_compare(&en->truth, offsets, n);
 	if (!by)
 		return;
-	/* What was heard is judged anew by the next datagrams. */
+	/* Keeps the offsets relative to the corrected clock. */
 	cds_list_for_each_entry(p, &en->prs.peers, node)
 		p->ahead_ms -= by;
 	jlog_begin(en->log, JLOG_WARN, "clock_corrected");
@@ -410,7 +424,7 @@
 	jlog_end(en->log);
 }
 
-/* Peers count as sending above this request rate. */
+/* A peer above this rate counts as sending requests to endpoints. */
 #define SENDING_REQUESTS_PER_S 0.5
 
 static unsigned count_sending_peers(const struct edge *en, int64_t now)
@@ -437,7 +451,7 @@
 	prs_forget(&en->prs, now);
 }
 
-/* ---- Life ---- */
+/* ---- Start ---- */
 
 int edge_peer_open(struct edge *en, struct err *e)
 {
@@ -449,7 +463,7 @@
 	    hsc_server_open(&en->peers, en->loop, &addr, &edge_peer_http_vtable,
 			    en, e))
 		return -1;
-	/* Datagrams on the same port, also if any free one was asked for. */
+	/* UDP uses the port of the listener, which may be chosen (port 0). */
 	hsc_server_address(&en->peers, en->peer_address,
 			   sizeof(en->peer_address));
 	if (ioc_address(en->peer_address, &addr, e))
@@ -458,7 +472,7 @@
 		socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (en->gossip_fd < 0 ||
 	    bind(en->gossip_fd, (const struct sockaddr *)&addr, sizeof(addr)))
-		return err_set(e, ERR_IO, "datagrams on %s: %s",
+		return err_set(e, ERR_IO, "gossip socket on %s: %s",
 			       en->peer_address, strerror(errno));
 	ev_io_init(&en->gossip_watcher, on_datagrams, en->gossip_fd, EV_READ);
 	en->gossip_watcher.data = en;
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -1,5 +1,7 @@
-/* Which entries do what only some of them should: watch the store, keep all
- * counts, be nr_advertised to callers. */
+/*
+ * Selection of entries for roles that only a few of them have: to watch the
+ * store, to keep all usage counts, to be advertised to callers.
+ */
 #include <assert.h>
 #include <string.h>
 
@@ -7,15 +9,16 @@
 #include "member/named.h"
 
 /*
- * Entries that are told all counts beside the holder of the duties: what a
- * dead entry counted is lost only if these and the holder die with it. Told
- * to all, counts were three quarters of the bytes between entries.
+ * Entries that are sent all usage counts, in addition to the duty holder. The
+ * counts of a crashed entry are lost only if all of these crash too. When the
+ * counts were sent to all entries, they made up three quarters of the bytes of
+ * gossip.
  */
 #define NR_COUNT_KEEPERS 3
 
 /* ---- Watching the store ---- */
 
-/* How many of those that are ranked watch the store. */
+/* Number of the ranked entries that watch the store. */
 static size_t nr_watchers(const struct edge *en)
 {
 	const size_t n = feed_watchers((unsigned)en->ranking.n);
@@ -23,6 +26,7 @@
 	return n < en->ranking.n ? n : en->ranking.n;
 }
 
+/* Sorts the entries that can reach the store into en->ranking. */
 static void rank_watchers(struct edge *en, int64_t now)
 {
 	struct prs_peer *p;
@@ -59,7 +63,7 @@
 	return rank_of_key(&en->ranking, n, en->source)->entry;
 }
 
-/* ---- Counts of usage ---- */
+/* ---- Usage counts ---- */
 
 void edge_mark_count_keepers(struct edge *en, int64_t now)
 {
@@ -79,8 +83,9 @@
 	}
 }
 
-/* ---- Being nr_advertised to callers ---- */
+/* ---- Addresses for callers ---- */
 
+/* Callers' requests per second at all entries. */
 static double total_request_rate(const struct edge *en, int64_t now)
 {
 	const struct prs_peer *p;
@@ -101,7 +106,10 @@
 	return p ? p->info.callers : en->conf->listen.callers;
 }
 
-/* If no entry is heard the cut may be ours: then all that are registered. */
+/*
+ * The addresses of all registered entries. For the case that no live entry is
+ * known: this entry may be the one that is cut off.
+ */
 static size_t registered_addresses(const struct edge *en, const char **out,
 				   size_t max)
 {
@@ -133,7 +141,7 @@
 		return registered_addresses(en, out, max);
 	rank_spread(r);
 	nr_advertised = named_count(total_request_rate(en, now), r->n);
-	/* Of more than fit into an answer each answer has others. */
+	/* If not all fit into an answer, each answer has others. */
 	first = nr_advertised > max
 			? rnd_below(&en->rnd, (uint32_t)nr_advertised)
 			: 0;
--- a/lib/edge/edge_rollout_internal.h
+++ b/lib/edge/edge_rollout_internal.h
@@ -36,7 +36,7 @@
 	struct rol_order order;
 	char order_error[ROL_WHY];
 	int64_t refused_version;    /* of the last refused order */
-	int64_t unordered_since_ms; /* a version is listed without order; 0: no */
+	int64_t unordered_since_ms; /* version without order listed; 0: none */
 	bool writing;		    /* a write of the record is in flight */
 	int64_t next_write_ms;	    /* no write before this time */
 	struct rol_record next;	    /* the record that is being written */
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -1,5 +1,7 @@
-/* What the store says of endpoints, entries and duties, and what is logged of
- * its answers. */
+/*
+ * Applies changes of keys in the store to the entry's state, and logs slow and
+ * large answers of the store.
+ */
 #include <assert.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,8 +12,8 @@
 #include "edge/edge_rollout.h"
 
 /*
- * Answers of the store that are logged: those that came this late, or have
- * so many bytes. Neither happens more than a few times a second.
+ * Answers that are at least this late or large are logged. Neither happens more
+ * than a few times per second.
  */
 #define SLOW_ANSWER_MS 300
 #define LARGE_ANSWER_BYTES (64u << 10)
@@ -39,14 +41,14 @@
 	jlog_bool(en->log, "reclaimable", e->info.reclaimable);
 	jlog_int(en->log, "leaves_ms", e->info.time_left_ms);
 	jlog_int(en->log, "running", e->running);
-	/* How long a change may have waited to be seen. */
+	/* Upper bound of the delay until the change was seen. */
 	jlog_int(en->log, "list_age_ms", edge_list_age(en, edge_now(en)));
 	jlog_end(en->log);
 }
 
 /*
- * The copy that the store came back from still lists endpoints that left
- * since. One that lives writes its entry again.
+ * A restored store still lists endpoints that were removed after the copy was
+ * made. True for such an endpoint; one that still runs writes its entry again.
  */
 static bool is_stale_entry(struct edge *en, const struct flt_info *info)
 {
@@ -71,7 +73,7 @@
 	enum flt_change change;
 
 	if (en->wire->decode_endpoint(key, value, len, &info, &e)) {
-		/* Whoever wrote it: the key names no endpoint now. */
+		/* The former value is replaced, so the endpoint is gone. */
 		flt_remove(&en->fleet, key + strlen(en->wire->endpoint_prefix),
 			   edge_now(en));
 		met_inc(en->m.entries_unreadable);
@@ -100,7 +102,8 @@
 	str_copy(info.callers, jsn_str(o, "callers", ""), sizeof(info.callers));
 	str_copy(info.peers, jsn_str(o, "peers", ""), sizeof(info.peers));
 	if (!prs_registered(&en->prs, &info, edge_now(en))) {
-		edge_log_unreadable(en, key, "no address of the entry");
+		edge_log_unreadable(en, key,
+				    "not an entry with a valid address");
 		return;
 	}
 	edge_peer_sum_demands(en, edge_now(en));
@@ -165,10 +168,13 @@
 		edge_rollout_order_seen(en, key, value, len, revision);
 	else if (!strcmp(key, EDGE_PLAN_KEY) &&
 		 !carry_decode(value, len, &en->plan))
-		edge_log_unreadable(en, key, "no plan");
+		edge_log_unreadable(en, key, "not a plan");
 }
 
-/* When endpoints' entries that the store lost began to be written again. */
+/*
+ * When endpoints began to write their lost entries again: after the last outage
+ * or restore of the store, whichever was later.
+ */
 static int64_t rewrites_began_ms(const struct edge *en)
 {
 	const int64_t back = sto_back_ms(en->store);
@@ -196,7 +202,7 @@
 	} else if (!strcmp(key, EDGE_ERA_KEY)) {
 		edge_era_record_deleted(en);
 	} else if (has_prefix(key, EDGE_FATAL_PREFIX)) {
-		/* What the store lost, nobody lifted. */
+		/* A record lost in a restore does not end the quarantine. */
 		if (en->watches[EDGE_WATCH_SYSTEM].resyncing)
 			edge_fatal_record_lost(en, key);
 		else
@@ -213,8 +219,9 @@
 
 const struct mir_vtable edge_mirror_vtable = { on_put, on_deleted };
 
-/* ---- Life ---- */
+/* ---- Start and periodic work ---- */
 
+/* Picks at random a live peer that reaches the store, to relay calls to it. */
 static const struct sockaddr_in *pick_relay(void *arg)
 {
 	struct edge *en = arg;
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -1,51 +1,55 @@
-/* Following the store's id: by a watch of our own, or by that of another
- * entry. */
+/*
+ * Watches of the store's keys, sent to the store or, as a follower, to another
+ * entry (the leader) that passes on the answers of its own watch.
+ */
 #include <assert.h>
 
 #include "base/zip.h"
 #include "edge/edge_internal.h"
 
 /*
- * A watch waits so long for a change. That it is held up, or its channel
- * silent, is noticed only after it. For endpoints it is a third of the time
- * after which one that leaves must get no new work: with the pause between
- * two watches, the trust in it (below) and the question that a follower then
- * asks the store itself, the list is 1.6 s old at most where two are allowed,
- * and 2 s where three are. Of the entries there is word by datagrams, too.
+ * How long the store holds a watch without changes. A stalled watch, or a
+ * silent connection, is noticed only after that time.
+ *
+ * For endpoints it is a third of the time after which a draining endpoint must
+ * get no new requests (bounds.drain_ms). With the pause between two watches,
+ * MAX_DIRECT_AGE_MS, and the call that a follower then sends to the store
+ * itself, the list is at most 1.6 s old where 2 s are allowed, and 2 s where
+ * 3 s are. The system keys are less urgent: entries are also known by gossip.
  */
 #define ENDPOINTS_WAIT_DIVISOR 3
 #define MIN_ENDPOINTS_WAIT_MS 300
 #define SYSTEM_WAIT_MS 2000
 
-/* At most the time that endpoints of an ordered version take to start. */
+/* Not longer than the endpoints of an ordered version take to start. */
 #define ROLLOUTS_WAIT_MS 2000
 
 /*
- * Following another entry's watch: it answers at least this often, and with
- * so much more time it counts as lost.
+ * A leader answers a follower after this wait at the latest. It counts as lost
+ * if its answer takes longer than that by the margin.
  */
 #define FOLLOW_WAIT_MS 900
 #define FOLLOW_MARGIN_MS 400
 
 /*
- * After a lost leader the store is watched directly for so long; after one
- * that had not what we lacked, for the time in which one watch brings it.
+ * How long the store is watched directly after a leader was lost, or after it
+ * did not have the changes that this entry lacks; those take a single watch.
  */
 #define LEADER_LOST_BACKOFF_MS 2000
 #define LEADER_BEHIND_BACKOFF_MS 200
 
 /*
- * What our watch brings is passed on only while our own way to the store
- * worked this lately: a leader that is cut off would leave its followers
- * blind beside a store that they can reach.
+ * Followers are served only if the last successful direct call to the store is
+ * not older. Else a leader that is cut off from the store would keep its
+ * followers without changes, although they can reach the store.
  */
 #define MAX_DIRECT_AGE_MS 1300
 
 /*
- * What is passed on is packed from this size on: below it a change is a
- * packet anyway. When fifty endpoints start or leave together, their changes
- * are more than may be passed on as they are, and 280 followers would each
- * read them from the store.
+ * Answers are compressed for followers from this size on; smaller ones fit into
+ * a packet anyway. When fifty endpoints start or leave together, the
+ * uncompressed changes exceed FEED_MAX_BYTES, and 280 followers would each read
+ * them from the store.
  */
 #define MIN_PACK_BYTES 1024
 
@@ -58,8 +62,8 @@
 }
 
 /*
- * True if what was read is of an earlier era of the store: it is read anew,
- * and nobody follows us meanwhile.
+ * True if the mirror is of an earlier era than the store: starts to read all
+ * keys again, during which followers are not served.
  */
 static bool check_era(struct edge_watch *w, int64_t now)
 {
@@ -84,7 +88,7 @@
 		watch_failed(w, now);
 		return;
 	}
-	/* The first page of all shows the era. */
+	/* The first page ever read sets the era. */
 	if (!w->mirror.whole && !w->mirror.first_page_rev)
 		w->era = a->era;
 	if (check_era(w, now))
@@ -111,7 +115,7 @@
 			  a->items[i].len, a->items[i].revision);
 }
 
-/* For those that follow us, in as few bytes as they come to. */
+/* Keeps the answer for followers, compressed if that is worth it. */
 static void add_to_feed(struct edge_watch *w, const struct sto_answer *a)
 {
 	BUF_AUTO packed = BUF_INIT;
@@ -155,7 +159,7 @@
 	edge_serve_followers(en, now);
 }
 
-/* ---- Following another entry's watch ---- */
+/* ---- Watches at another entry ---- */
 
 static void on_followed(void *arg, struct sto_answer *a)
 {
@@ -165,8 +169,10 @@
 	if (check_era(w, now))
 		return;
 	if (a->outcome != STO_OK) {
-		/* The store itself is asked, at once: once if the leader has
-		 * not what we lack, else for a while. */
+		/*
+		 * Watches the store itself, at once: for a single watch if the
+		 * leader lacks the changes, else for a while.
+		 */
 		w->follow_after_ms = now + (a->outcome == STO_ABSENT
 						    ? LEADER_BEHIND_BACKOFF_MS
 						    : LEADER_LOST_BACKOFF_MS);
@@ -174,7 +180,7 @@
 		w->mirror.due_ms = now;
 		return;
 	}
-	/* Kept for the time when we watch the store and others follow us. */
+	/* Kept for the case that this entry becomes a leader. */
 	feed_add(&w->feed, w->mirror.revision, a->revision, a->nr_items > 0,
 		 a->raw, a->raw_len);
 	w->from_store = false;
@@ -183,6 +189,7 @@
 	w->complete_ms = now;
 }
 
+/* Sends the next watch to the leader; false: to be sent to the store. */
 static bool follow(struct edge_watch *w, int64_t now)
 {
 	struct edge *en = w->en;
@@ -210,7 +217,7 @@
 	       feed_alive(w->complete_ms, w->wait_ms, now);
 }
 
-/* ---- Life ---- */
+/* ---- Start and periodic work ---- */
 
 static void open_watch(struct edge *en, enum edge_watch_id id,
 		       const char *prefix, int wait_ms)
@@ -236,7 +243,7 @@
 void edge_watch_open(struct edge *en)
 {
 	static_assert(EDGE_CONFIG_LANE < STO_LANES,
-		      "each is followed by itself");
+		      "each followed watch and the configuration have a lane");
 
 	open_watch(en, EDGE_WATCH_ENDPOINTS, en->wire->endpoint_prefix,
 		   endpoints_wait(en));
@@ -263,7 +270,7 @@
 {
 	struct sto_call c = { .key = w->prefix };
 
-	/* Another call showed it; one of ours that is under way ends first. */
+	/* Another call may have shown a new era; one in flight ends first. */
 	if (!w->mirror.calling && w->mirror.whole && !w->resyncing)
 		check_era(w, now);
 	if (w->mirror.state == MIR_WATCH && !may_watch(w, now))
--- a/lib/edge/explain.c
+++ b/lib/edge/explain.c
@@ -7,7 +7,7 @@
 
 #include "base/jsn.h"
 
-/* Lines on the fleet and the store that are kept for context. */
+/* Maximum number of context lines; further ones are ignored. */
 #define MAX_CONTEXT 100000
 
 struct log_line {
@@ -22,7 +22,7 @@
 
 struct explain {
 	char *id;
-	struct log_lines request_lines; /* of the request */
+	struct log_lines request_lines; /* with the request's id */
 	struct log_lines context;	/* of endpoints, store, configuration */
 	size_t unparsed;
 };
@@ -66,7 +66,7 @@
 	};
 }
 
-/* Events that say what an entry believed of the world. */
+/* Events that show what an entry knew when it handled the request. */
 static bool is_context(const char *event)
 {
 	static const char *const events[] = {
@@ -104,7 +104,7 @@
 	return x->unparsed;
 }
 
-/* ---- Telling ---- */
+/* ---- Report ---- */
 
 static int by_time(const void *a, const void *b)
 {
@@ -138,7 +138,7 @@
 	return NULL;
 }
 
-/* The last log_line of context last_before `time` that `matches`. */
+/* Last context line up to `time` for which `matches` returns true. */
 static const struct log_line *
 last_before(const struct explain *x, const char *time,
 	    bool (*matches)(const struct log_line *, const char *what),
@@ -176,7 +176,7 @@
 	       strcmp(outcome, "answered");
 }
 
-/* What an endpoint did, and what was known of it. */
+/* Writes how the send ended, and the last known change of its endpoint. */
 static void write_endpoint_cause(const struct explain *x,
 				 const struct log_line *send, struct buf *out)
 {
@@ -229,7 +229,7 @@
 	for (i = 0; i < sizeof(ends) / sizeof(ends[0]) && !end; i++)
 		end = last_of(&x->request_lines, ends[i]);
 	if (!end) {
-		buf_str(out, "no end: the entry ended while it had the "
+		buf_str(out, "no end: the entry exited during the "
 			     "request, or lines are missing\n");
 		return true;
 	}
--- a/lib/edge/explain.h
+++ b/lib/edge/explain.h
@@ -1,10 +1,10 @@
 /*
- * explain: from a request's id to the cause of its answer, out of the log
- * lines of all entries.
+ * explain: finds the cause of a request's answer in the log lines of all
+ * entries.
  *
- * Lines are given in any order, with or without something before their JSON
- * object. Kept are those of the request, and those on the endpoints, the
- * store and the configuration that may have decided it.
+ * Lines may come in any order, and with a prefix before their JSON object. The
+ * lines of the request are kept, and as context those on endpoints, the store
+ * and the configuration.
  */
 #ifndef EXPLAIN_H
 #define EXPLAIN_H
@@ -16,18 +16,20 @@
 
 struct explain;
 
+/* Starts a search for a request; the id is copied. */
 struct explain *explain_create(const char *request_id);
 void explain_free(struct explain *x);
 
-/* Takes one line; lines that are no log lines are counted and passed over. */
+/* Adds a line. Lines that are not log lines are counted and skipped. */
 void explain_line(struct explain *x, const char *line);
 
-/* Lines that could not be read. */
+/* Number of skipped lines, without empty ones. */
 size_t explain_unparsed(const struct explain *x);
 
 /*
- * Writes the lines of the request in order of time and, last, the deciding
- * one with what was known around it. False: the id is in no line.
+ * Appends to `out` the lines of the request by time, then the line that states
+ * its end, the cause, and the context of the cause. False: no line has the id.
+ * Call it once, after all lines were added.
  */
 bool explain_report(struct explain *x, struct buf *out);
 
--- a/lib/edge/losses.c
+++ b/lib/edge/losses.c
@@ -11,20 +11,21 @@
 #include "base/jsn.h"
 #include "base/tab.h"
 
+/* Size of buffers for ids, names and reasons; longer ones are truncated. */
 #define NAME_SIZE 80
 
-/* "YYYY-MM-DDTHH:MM:SS" of a line's time. */
+/* Length of the time of a line up to seconds, "YYYY-MM-DDTHH:MM:SS". */
 #define SECOND_LEN 19
 
 enum outcome {
-	UNFINISHED, /* sent, and no end seen */
+	UNFINISHED, /* sent, without a line on its end */
 	SERVED,
 	LATE,
 	REFUSED,
 	FAILED,
-	DENIED, /* the request itself was wrong */
+	DENIED, /* for a fault of the request itself */
 	CUT,
-	ABANDONED, /* by the caller */
+	ABANDONED, /* the caller closed the connection */
 	NR_OUTCOMES,
 };
 
@@ -39,18 +40,18 @@
 	"left by caller",
 };
 
-/* One attempt of a caller. */
+/* A request: one attempt of a caller. */
 struct loss_attempt {
 	char id[NAME_SIZE];
 	char route[NAME_SIZE];
-	char endpoint[NAME_SIZE];    /* that it was sent to last */
-	char second[SECOND_LEN + 1]; /* of its last line */
+	char endpoint[NAME_SIZE];    /* of its last send */
+	char second[SECOND_LEN + 1]; /* of its last line, see SECOND_LEN */
 	char why[NAME_SIZE];
 	enum outcome outcome;
 	UT_hash_handle hh;
 };
 
-/* A count under a name; `of` says what it counts. */
+/* Counts of requests by outcome, under a route, reason, endpoint or second. */
 struct row {
 	char name[3 * NAME_SIZE];
 	unsigned long n[NR_OUTCOMES];
@@ -100,7 +101,7 @@
 
 /* ---- Lines ---- */
 
-/* uthash's macros count as many statements of ours. */
+/* The expanded uthash macros count as many statements. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static struct loss_attempt *get_attempt(struct losses *l, const char *id)
 {
@@ -118,7 +119,7 @@
 	return a;
 }
 
-/* True if `ms` is exceeds `bound`, where one is stated. */
+/* True if there is a bound (above 0) and `ms` exceeds it. */
 static bool exceeds(int64_t ms, int64_t bound)
 {
 	return bound > 0 && ms > bound;
@@ -155,7 +156,7 @@
 	return "pause";
 }
 
-/* True if the line parse_end a request; says how. */
+/* True if the line states the end of a request: sets its outcome and reason. */
 static bool parse_end(struct json_object *o, const char *event,
 		      enum outcome *out, const char **why)
 {
@@ -230,7 +231,7 @@
 	return r;
 }
 
-/* Callers' own mistakes and departures are not lost by the system. */
+/* Invalid requests, and those that their caller left, are no losses. */
 static bool is_loss(enum outcome o)
 {
 	return o != SERVED && o != DENIED && o != ABANDONED;
@@ -293,7 +294,7 @@
 	}
 }
 
-/* The endpoint that had worst_endpoint of the losses of this outcome and reason. */
+/* The endpoint with most of the losses for this reason; NULL: none. */
 static const struct row *worst_endpoint(struct row *endpoints,
 					const char *reason)
 {
--- a/lib/edge/losses.h
+++ b/lib/edge/losses.h
@@ -1,13 +1,16 @@
 /*
- * losses: what callers lost, by route, reason and second, out of the log lines
- * of all entries.
+ * losses: counts the requests that failed or were late, by route, reason and
+ * second, from the log lines of all entries.
  *
- * Each request ends in one line: passed, answered by the entry itself, cut, or
- * left by its caller. A request that was sent and has no such line ended with
- * its entry. Passed ones are late if their first event or whole answer came
- * after the route's objective, or a pause of the stream was longer than the
- * route allows; both count from the arrival at the entry, so what a caller
- * waited before that, or lost on an earlier attempt, is not in it.
+ * One line states the end of a request: its answer was passed on, the entry
+ * answered it itself, its stream was cut, or the caller left. If a request was
+ * sent and has no such line, its entry exited during the request.
+ *
+ * A request whose answer was passed on is late if its first event, or its whole
+ * answer if it is no stream, came after the route's objective, or if a pause of
+ * the stream was longer than the route allows. Times count from the arrival at
+ * the entry; what the caller waited before that, or lost in an earlier attempt,
+ * is not included.
  */
 #ifndef LOSSES_H
 #define LOSSES_H
@@ -21,19 +24,19 @@
 struct losses *losses_create(void);
 void losses_free(struct losses *l);
 
-/* Takes one line; lines that are no log lines are counted and passed over. */
+/* Adds a line. Lines that are not log lines are counted and skipped. */
 void losses_line(struct losses *l, const char *line);
 
-/* Lines that could not be read. */
+/* Number of skipped lines, without empty ones. */
 size_t losses_unparsed(const struct losses *l);
 
-/* Seconds that the table names: those with the most losses. */
+/* Maximum number of seconds in the table: those with the most losses. */
 #define LOSSES_SECONDS 10
 
 /*
- * Writes three tables: requests by route and outcome, losses by reason (the
- * most frequent first, with the endpoint that had most of them), and the
- * seconds with the most losses. Returns the number of requests.
+ * Appends three tables to `out`: requests by route and outcome; losses by
+ * reason, the most frequent first, with the endpoint that had most of them; and
+ * the seconds with the most losses. Returns the number of requests.
  */
 size_t losses_report(struct losses *l, struct buf *out);
 
--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -1,4 +1,4 @@
-/* From an id to its cause, on lines as entries write them. */
+/* Tests of explain.h on log lines as entries write them. */
 #include <stdio.h>
 #include <string.h>
 
@@ -10,7 +10,7 @@
 	"\"instance\":\"" instance "\",\"event\":\"" event "\"," rest "}"
 
 static const char *const lines[] = {
-	/* As a collector may hand them over: mixed, with a prefix. */
+	/* Out of order and partly with a prefix, as from a log collector. */
 	"edge-2 | " AT("900", "edge-2", "cut",
 		       "\"id\":\"r2\",\"why\":\"endpoint broke off\","
 		       "\"events\":7,\"held_ms\":800"),
--- a/tests/test_losses.c
+++ b/tests/test_losses.c
@@ -1,4 +1,4 @@
-/* What callers lost, on lines as entries write them. */
+/* Tests of losses.h on log lines as entries write them. */
 #include <stdbool.h>
 #include <string.h>
 
@@ -36,7 +36,7 @@
 	   "\"route\":\"ask\""),
 	AT("03", "answer",
 	   "\"id\":\"g\",\"status\":404,\"why\":\"no route\",\"route\":\"\""),
-	SEND("04", "h", "i-1"), /* the entry ended */
+	SEND("04", "h", "i-1"), /* its entry exited */
 	SEND("04", "i", "i-1"),
 	AT("05", "cut", "\"id\":\"i\",\"why\":\"broke\""),
 	SEND("04", "j", "i-1"),
@@ -58,7 +58,6 @@
 	losses_free(l);
 }
 
-/* The line of the table that has `name`, up to its end. */
 static bool has(const struct buf *out, const char *text)
 {
 	return strstr(buf_cstr(out), text) != NULL;
@@ -69,7 +68,7 @@
 	BUF_AUTO out = BUF_INIT;
 
 	report(&out);
-	/* a; b, c, d late; f refused; e failed; i cut; h open; j left. */
+	/* a; b, c, d late; f refused; e failed; i cut; h without end; j left. */
 	CU_ASSERT(has(&out, "ask                              9       1     "
 			    "3        1       1    1                     1  "
 			    "     0               1\n"));
