--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -104,7 +104,10 @@
 		  r->account->name);
 }
 
-/* True if all live entries sent their complete counts of the window. */
+/*
+ * True if all registered and all live entries have sent their complete counts
+ * of the window.
+ */
 static bool all_counts_received(const struct edge *en, int64_t window_end_ms)
 {
 	const struct prs_peer *p;
--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -2,8 +2,9 @@
  * Declarations shared by the duties of the duty holder: edge_duty.c (usage
  * reports), edge_scale.c (scaling) and edge_rollout_duty.c (roll-outs).
  *
- * The duty holder is the one entry that may call the platform. Each call
- * carries its fencing token, so that the platform rejects a former holder.
+ * The duty holder is the one entry that may report usage to the platform and
+ * order endpoints from it. Each call carries its fencing token, by which the
+ * platform can reject calls of a former holder.
  */
 #ifndef EDGE_DUTY_INTERNAL_H
 #define EDGE_DUTY_INTERNAL_H
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -29,10 +29,10 @@
 #define READ_BATCH 64
 
 /*
- * A peer counts as new for this long after its first datagram, and is sent the
- * latency models meanwhile: in three rounds, of which one may be lost. Peers
- * that keep all counts are always sent them, since one of them, the duty
- * holder, orders endpoints by them.
+ * A peer counts as new for this long after its first datagram. Meanwhile it is
+ * sent the latency models and all suspects, in three rounds, of which one may
+ * be lost. Peers that keep all counts are always sent the models: one of these
+ * peers is the duty holder, which orders endpoints by them.
  */
 #define NEW_PEER_MS 2000
 
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -10,9 +10,9 @@
 
 /*
  * Entries that are sent all usage counts, in addition to the duty holder. The
- * counts of a crashed entry are lost only if all of these crash too. When the
- * counts were sent to all entries, they made up three quarters of the bytes of
- * gossip.
+ * counts of a crashed entry are lost only if these and the duty holder crash
+ * with it. When the counts were sent to all entries, they made up three
+ * quarters of the bytes of gossip.
  */
 #define NR_COUNT_KEEPERS 3
 
--- a/lib/edge/edge_rollout.h
+++ b/lib/edge/edge_rollout.h
@@ -3,9 +3,10 @@
  * other files of the entry use them.
  *
  * Roll-outs are disabled if the settings have no exposure limit or no address
- * of the platform: each function then does nothing, and all requests go to the
- * version in use. Keys and values are those of the store and need no final NUL;
- * `version` is the version of the key.
+ * of the platform; all requests then go to the endpoints in use.
+ *
+ * Keys and values are those of the store; values need no final NUL. `version`
+ * is the version of the key.
  */
 #ifndef EDGE_ROLLOUT_H
 #define EDGE_ROLLOUT_H
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -212,8 +212,8 @@
 }
 
 /*
- * Accepts a version that was listed without an order for UNORDERED_DELAY_MS.
- * Sets ro->next and returns true when it is due.
+ * Accepts a version that was listed without an order for UNORDERED_DELAY_MS, if
+ * no roll-out is in progress: sets ro->next and returns true when it is due.
  */
 static bool accept_unordered(struct edge_rollout *ro,
 			     const struct endpoint_sums *sums,
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -1,6 +1,6 @@
 /*
  * Scaling by the duty holder: plans the number of endpoints of each service and
- * zone (scale.h), and orders from the platform what is missing or surplus.
+ * zone (scale.h), and orders these numbers from the platform.
  */
 #include <assert.h>
 #include <stdlib.h>
@@ -333,7 +333,10 @@
 	return n;
 }
 
-/* Sends an order if the last one does not cover the plan; true: it was due. */
+/*
+ * Orders the planned number unless the last order still covers it, or was
+ * refused a short time ago. Returns true if an order was due.
+ */
 static bool place_order(struct edge_duty *d, const struct cfg_service *s,
 			const struct scale_zone *z, bool reclaimable)
 {
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -15,11 +15,12 @@
  * get no new requests (bounds.drain_ms). With the pause between two watches,
  * MAX_DIRECT_AGE_MS, and the call that a follower then sends to the store
  * itself, the list is at most 1.6 s old where 2 s are allowed, and 2 s where
- * 3 s are. The system keys are less urgent: entries are also known by gossip.
+ * 3 s are. The system keys are less urgent, since entries are also known by
+ * gossip: their watch has the maximum, which bounds that of endpoints, too.
  */
 #define ENDPOINTS_WAIT_DIVISOR 3
 #define MIN_ENDPOINTS_WAIT_MS 300
-#define SYSTEM_WAIT_MS 2000
+#define MAX_WAIT_MS 2000
 
 /* Not longer than the endpoints of an ordered version take to start. */
 #define ROLLOUTS_WAIT_MS 2000
@@ -53,7 +54,7 @@
  */
 #define MIN_PACK_BYTES 1024
 
-/* ---- The calls ---- */
+/* ---- Watches at the store ---- */
 
 static void watch_failed(struct edge_watch *w, int64_t now)
 {
@@ -237,7 +238,7 @@
 
 	if (ms < MIN_ENDPOINTS_WAIT_MS)
 		return MIN_ENDPOINTS_WAIT_MS;
-	return ms > SYSTEM_WAIT_MS ? SYSTEM_WAIT_MS : ms;
+	return ms > MAX_WAIT_MS ? MAX_WAIT_MS : ms;
 }
 
 void edge_watch_open(struct edge *en)
@@ -247,7 +248,7 @@
 
 	open_watch(en, EDGE_WATCH_ENDPOINTS, en->wire->endpoint_prefix,
 		   endpoints_wait(en));
-	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, SYSTEM_WAIT_MS);
+	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, MAX_WAIT_MS);
 	open_watch(en, EDGE_WATCH_ROLLOUTS, en->wire->rollout_prefix,
 		   ROLLOUTS_WAIT_MS);
 }
