--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -71,8 +71,8 @@
 /* ---- edge_duty.c ---- */
 
 /*
- * True if this entry holds the duties and its lease is certain to last long
- * enough for a call.
+ * True if a call of a duty may be sent now: this entry has held the duties for
+ * LEAD_SETTLE_MS, and its lease is certain to run for LEAD_MARGIN_MS more.
  */
 bool edge_duty_may_act(const struct edge *en);
 
