--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -1,13 +1,17 @@
-/* The configuration: reading it, and confirming that it is the newest. */
+/*
+ * The configuration in force: reads it from the store or from the leader, and
+ * confirms by calls to the store that it is the newest version (vfy.h).
+ */
 #include "base/zip.h"
 #include "edge/edge_internal.h"
 
 /*
- * Another entry is given so long to have the version, and its answer so much
- * longer. Both are taken from the time in which a change must be in force.
+ * How long the leader may wait for a version that it does not have yet, and the
+ * margin for its answer. Both count against the time in which a change must be
+ * in force.
  */
 #define PEER_WAIT_MS 200
-#define PEER_EXTRA_MS 200
+#define PEER_MARGIN_MS 200
 
 /* ---- Versions ---- */
 
@@ -24,17 +28,18 @@
 }
 
 /*
- * The last good version stays in force if this one cannot be read, or is older
- * since the store came back from a copy. Returns true if this one is in force.
+ * Puts a version into force. The last good version stays in force if the new
+ * one cannot be decoded, or is older since the store was restored from an older
+ * copy. Returns true if the version of `it` is in force.
  */
-static bool take_config(struct edge *en, const struct sto_item *it,
-			int64_t asked_ms)
+static bool apply_config(struct edge *en, const struct sto_item *it,
+			 int64_t asked_ms)
 {
 	struct err e = ERR_INIT;
 	struct cfg *c = en->wire->decode_config(it->value, it->len, &e);
-	/* Nobody named it yet, and it is not our first one: others lack it. */
-	const bool news = c && en->force.cfg &&
-			  c->version > en->force.newest_known_version;
+	/* Not announced by another entry, and not the first one after start. */
+	const bool announce = c && en->force.cfg &&
+			      c->version > en->force.newest_known_version;
 	int64_t version;
 
 	if (!c) {
@@ -44,14 +49,14 @@
 	version = c->version;
 	if (force_offer(&en->force, c, asked_ms))
 		log_config(en, en->force.cfg, it->revision);
-	if (news)
+	if (announce)
 		edge_peer_broadcast(en, edge_now(en));
 	return en->force.cfg->version == version;
 }
 
 /* ---- Calls ---- */
 
-static void failed(struct edge *en)
+static void check_failed(struct edge *en)
 {
 	met_inc(en->m.store_failures);
 	vfy_failed(&en->vfy);
@@ -72,9 +77,8 @@
 }
 
 /*
- * Keeps what was read for the entries that follow us, in the form in which a
- * watch of the store brings it. What is larger than the changes that are
- * passed on each of them reads from the store (see FEED_MAX_BYTES).
+ * Keeps the configuration for followers, in the form of a watch's answer. If it
+ * is larger than FEED_MAX_BYTES, each follower reads it from the store.
  */
 static void keep_copy(struct edge *en, const struct sto_answer *a,
 		      bool from_watch)
@@ -97,11 +101,15 @@
 	edge_serve_followers(en, edge_now(en));
 }
 
-/* `at_ms`: when it was the newest version; 0: that is not known. */
-static void brought(struct edge *en, const struct sto_answer *a,
-		    const struct sto_item *it, int64_t at_ms, bool from_watch)
+/*
+ * A version was received. `at_ms`: when it was the newest; 0: not known.
+ * `from_watch`: `a` has the form of a watch's answer.
+ */
+static void config_received(struct edge *en, const struct sto_answer *a,
+			    const struct sto_item *it, int64_t at_ms,
+			    bool from_watch)
 {
-	const bool in_force = take_config(en, it, at_ms);
+	const bool in_force = apply_config(en, it, at_ms);
 
 	if (in_force)
 		keep_copy(en, a, from_watch);
@@ -119,15 +127,16 @@
 		return;
 	}
 	/*
-	 * The store may have come back from a copy just now, and its version
-	 * be older than what all others have in force: we know of none.
+	 * The store may have just been restored, with a version older than the
+	 * one that the other entries have in force. An entry without any
+	 * version cannot tell, so it waits until the era has settled.
 	 */
 	if (a->outcome != STO_OK || !it ||
 	    (!en->force.cfg && !edge_era_settled(en, edge_now(en)))) {
-		failed(en);
+		check_failed(en);
 		return;
 	}
-	brought(en, a, it, a->asked_ms, false);
+	config_received(en, a, it, a->asked_ms, false);
 	edge_req_resume_waiting(en);
 }
 
@@ -142,7 +151,7 @@
 	struct edge *en = arg;
 	const struct sto_item *it = find_config(en, a);
 
-	/* Changes since a revision of an earlier era are none. */
+	/* An answer to a revision of an earlier era proves nothing. */
 	if (a->outcome == STO_HISTORY_LOST ||
 	    (a->outcome == STO_OK && ver_era(en->vfy.revision) != a->era)) {
 		vfy_history_lost(&en->vfy);
@@ -150,11 +159,11 @@
 		return;
 	}
 	if (a->outcome != STO_OK) {
-		failed(en);
+		check_failed(en);
 		return;
 	}
 	if (it)
-		brought(en, a, it, vfy_as_of_ms(&en->vfy), true);
+		config_received(en, a, it, vfy_as_of_ms(&en->vfy), true);
 	else
 		confirm(en, vfy_unchanged(&en->vfy, a->revision, edge_now(en)));
 	edge_req_resume_waiting(en);
@@ -162,23 +171,23 @@
 
 /* ---- Versions from another entry ---- */
 
-static void on_handed(void *arg, struct sto_answer *a)
+static void on_peer_config(void *arg, struct sto_answer *a)
 {
 	struct edge *en = arg;
 	const struct sto_item *it = find_config(en, a);
 
 	if (a->outcome == STO_OK && it)
-		brought(en, a, it, 0, true);
+		config_received(en, a, it, 0, true);
 	else
 		vfy_peer_failed(&en->vfy);
 	edge_config_tick(en, edge_now(en));
 }
 
-static void ask_peer(struct edge *en, const struct prs_peer *p)
+static void fetch_from_peer(struct edge *en, const struct prs_peer *p)
 {
 	sto_follow(en->store, EDGE_CONFIG_LANE, &p->addr,
-		   en->force.newest_known_version, PEER_WAIT_MS, PEER_EXTRA_MS,
-		   on_handed, en);
+		   en->force.newest_known_version, PEER_WAIT_MS, PEER_MARGIN_MS,
+		   on_peer_config, en);
 }
 
 void edge_config_tick(struct edge *en, int64_t now)
@@ -198,14 +207,14 @@
 			      .revision = en->vfy.revision };
 	enum vfy_call call;
 
-	/* Whether the store came back just now stands among our own keys. */
+	/* The system keys tell whether the store has just been restored. */
 	if (!en->force.cfg && !en->watches[EDGE_WATCH_SYSTEM].mirror.complete)
 		return;
 	call = vfy_next(&en->vfy, &s, now, &c.wait_ms);
 	if (call == VFY_NONE)
 		return;
 	if (call == VFY_PEER) {
-		ask_peer(en, leader);
+		fetch_from_peer(en, leader);
 		return;
 	}
 	c.kind = call == VFY_READ ? STO_GET : STO_WATCH;
--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -1,87 +1,110 @@
 /*
- * What the duties' parts share: one call to the platform at a time, the
- * report in work, the orders of this holder.
+ * Declarations shared by the duties of the duty holder: edge_duty.c (usage
+ * reports), edge_scale.c (scaling) and edge_rollout_duty.c (roll-outs).
+ *
+ * The duty holder is the one entry that may report usage to the platform and
+ * order endpoints from it. Each call carries its fencing token, by which the
+ * platform can reject calls of a former holder.
  */
 #ifndef EDGE_DUTY_INTERNAL_H
 #define EDGE_DUTY_INTERNAL_H
 
 #include "edge/edge_internal.h"
 
-/* A call to the platform, within the time that a successor leaves for it. */
+/*
+ * Timeout of a call to the platform. Shorter than LEAD_SETTLE_MS, which a new
+ * holder waits before it acts, so that calls of two holders do not overlap.
+ */
 #define EDGE_DUTY_CALL_MS 600
+/* Delay before a failed call or write is retried. */
 #define EDGE_DUTY_RETRY_MS 300
 
-enum edge_step {
-	STEP_IDLE,
-	STEP_WRITING, /* the report is written to the store */
-	STEP_SENDING, /* and sent as written */
+/* State of the current usage report. */
+enum edge_report_state {
+	REPORT_IDLE,
+	REPORT_WRITING, /* being written to the store */
+	REPORT_SENDING, /* being sent to the platform, as stored */
 };
 
-struct edge_order {
+/* The orders for one kind of endpoints of a service in a zone. */
+struct edge_scale_order {
 	char service[FLT_NAME];
 	char zone[FLT_NAME];
-	bool reclaimable;
-	int number; /* last order that was accepted; -1: none */
-	int64_t accepted_ms;
-	int64_t dry_ms;
+	bool reclaimable;	/* spot; false: on-demand */
+	int accepted_number;	/* of the last accepted order; -1: none */
+	int64_t accepted_ms;	/* when that was */
+	int64_t retry_after_ms; /* after a refusal: no order before */
 };
 
-/* What the plan of one service carries from look to look. */
-struct edge_scaled {
+/* State of a service's scaling plan, kept from one evaluation to the next. */
+struct edge_plan {
 	char service[FLT_NAME];
 	struct scale_need need;
-	double firm_held; /* of those that stay, see scale_limit_drain */
-	int64_t eased_ms;
+	double firm_held;     /* minimum of on-demand endpoints; scale_ease */
+	int64_t firm_held_ms; /* when it was last updated */
 };
 
 struct edge_duty {
 	struct edge *en;
-	struct htc_peer cloud;
-	bool calling; /* one call to the platform at a time */
+	struct htc_peer cloud; /* connections to the platform */
+	bool call_in_flight;   /* at most one call to the platform at a time */
 
-	enum edge_step step;
-	int64_t window; /* of the report in work */
-	struct buf counts;
-	int64_t next_window; /* the next to report; 0: not known */
-	int64_t not_before_ms;
+	enum edge_report_state report_state;
+	int64_t report_window;	  /* usage window of the current report */
+	struct buf report_counts; /* its encoded counts */
+	int64_t next_window;	  /* reported next; 0: not known */
+	int64_t next_attempt_ms;  /* reports are not written or sent before */
 
-	struct edge_order *orders;
+	struct edge_scale_order *orders;
 	size_t nr_orders;
-	bool ordering;		  /* the call under way is an order */
-	struct edge_order *order; /* which; NULL: forgotten meanwhile */
-	int order_number;
-	struct edge_scaled *scaled; /* a row a service */
-	size_t nr_scaled;
-	bool writing_plan;
-	int64_t plan_written_ms;
-	int status;
+	bool call_is_order; /* the call in flight is an order */
+	/* That order; NULL: none, or orders were reset after it was sent. */
+	struct edge_scale_order *order_in_flight;
+	int ordered_number;	 /* number that it orders */
+	struct edge_plan *plans; /* one per service */
+	size_t nr_plans;
+	bool plan_write_in_flight;
+	int64_t plan_written_ms; /* start of the last write of EDGE_PLAN_KEY */
+	int status;		 /* HTTP status of the call; 0: no answer yet */
 };
 
 /* ---- edge_duty.c ---- */
 
-/* True if a call of a duty may be sent now. */
+/*
+ * True if a call of a duty may be sent now: this entry has held the duties for
+ * LEAD_SETTLE_MS, and its lease is certain to run for LEAD_MARGIN_MS more.
+ */
 bool edge_duty_may_act(const struct edge *en);
 
-/* Sends at once: what holds now may not hold a moment later. */
+/*
+ * Starts a call to the platform with the whole request `wire`, which is taken
+ * over. Call it right after edge_duty_may_act, whose result soon expires, and
+ * only while no call is in flight. False: there was no socket, and nothing was
+ * sent.
+ */
 bool edge_duty_call(struct edge_duty *d, struct buf *wire);
 
-/* Holder and fence of a call. */
+/* This entry's name and fencing token, which each call carries. */
 struct wire_duty edge_duty_wire(const struct edge *en);
 
 /* ---- edge_scale.c ---- */
 
+/* Evaluates the plans of all services, and sends at most one order. */
 void edge_scale_tick(struct edge_duty *d, int64_t now);
 
-/* The order under way ended with this status; 0: no answer. */
-void edge_scale_ended(struct edge_duty *d, int status);
+/* The call of the order in flight ended. `status`: HTTP; 0: no answer. */
+void edge_scale_order_ended(struct edge_duty *d, int status);
 
-/* A new holder orders what is wanted, whatever was ordered before. */
-void edge_scale_forget(struct edge_duty *d);
+/*
+ * Discards all plans and orders. A new holder orders what its plan demands,
+ * regardless of what was ordered before.
+ */
+void edge_scale_reset(struct edge_duty *d);
 
-/* The same for one service, after its endpoints were replaced. */
-void edge_scale_forget_service(struct edge_duty *d, const char *service);
+/* Forgets what was ordered for a service; its endpoints were replaced. */
+void edge_scale_reset_orders(struct edge_duty *d, const char *service);
 
-/* Number of endpoints that a service needs by its plan; 0: not known. */
+/* Number of endpoints that the service needs by its plan; 0: not known. */
 double edge_scale_need(const struct edge_duty *d, const char *service);
 
 #endif
--- a/lib/edge/edge_era.c
+++ b/lib/edge/edge_era.c
@@ -1,10 +1,10 @@
 /*
- * The store came back from an older copy: what was written since is gone, and
- * what this entry knows from before is no longer what the store says.
+ * Detection of a store that was restored from an older copy: later writes are
+ * lost, and what this entry read before may differ from the store's content.
  *
- * One notices by the era in the store's answers, or hears it from other
- * entries. An entry that starts right after cannot tell from that alone, so
- * the era, and when it began, stands in the store as well.
+ * A restore shows as a new era in the store's answers, or in gossip. An entry
+ * that starts soon after cannot detect it by either, so the era and its begin
+ * are also recorded in the store (EDGE_ERA_KEY).
  */
 #include <stdio.h>
 #include <string.h>
@@ -13,31 +13,39 @@
 #include "edge/edge_internal.h"
 
 /*
- * Operators and endpoints write again what they wrote, within some two
- * seconds; until then no answer says which configuration is the newest.
+ * Operators and endpoints repeat their lost writes within about 2 s. Until
+ * then, no answer of the store proves which configuration is the newest.
  */
 #define SETTLE_MS 2500
 
-/* Of the writes that the store bears, all entries together take so many. */
-#define WRITE_PART 0.5
+/* Share of the store's writes per second that all entries together may use. */
+#define WRITE_SHARE 0.5
 
-/* Registering anew: a lease, and the key that hangs on it. */
-#define WRITES_EACH 2
+/* Writes to register again: a lease, and the key that is bound to it. */
+#define WRITES_PER_ENTRY 2
 
-/* The record is written by the entry that ranks first, again if it is not seen. */
+/*
+ * The entry of watch rank 0 writes the record, and again after this time until
+ * its watch has shown it.
+ */
 #define RECORD_RETRY_MS 1000
 
-static int64_t spread_ms(struct edge *en, int64_t now)
+/*
+ * Random delay before this entry registers again, so that all entries together
+ * stay within their share of the store's writes.
+ */
+static int64_t random_delay_ms(struct edge *en, int64_t now)
 {
-	const double per_s = (double)en->conf->store.writes_per_s * WRITE_PART;
-	const double all = WRITES_EACH * prs_count_running(&en->prs, now);
+	const double per_s = (double)en->conf->store.writes_per_s * WRITE_SHARE;
+	const double writes =
+		WRITES_PER_ENTRY * prs_count_running(&en->prs, now);
 
 	if (per_s < 1)
 		return 0;
-	return rnd_below(&en->rnd, (uint32_t)(all * 1000 / per_s) + 1);
+	return rnd_below(&en->rnd, (uint32_t)(writes * 1000 / per_s) + 1);
 }
 
-static void on_returned(void *arg, int64_t from, int64_t to)
+static void on_restored(void *arg, int64_t from, int64_t to)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -57,12 +65,12 @@
 	en->vfy.revision = 0;
 	lead_on_store_restored(&en->lead, (int64_t)en->conf->bounds.lease_ms,
 			       now);
-	edge_lease_invalidate(en, now + spread_ms(en, now));
+	edge_lease_invalidate(en, now + random_delay_ms(en, now));
 }
 
 void edge_era_open(struct edge *en)
 {
-	sto_set_on_restore(en->store, on_returned, en);
+	sto_set_on_restore(en->store, on_restored, en);
 }
 
 bool edge_era_settled(const struct edge *en, int64_t now)
@@ -97,12 +105,12 @@
 	JSN_AUTO *o = jsn_parse(value, len);
 
 	if (!o) {
-		edge_log_unreadable(en, EDGE_ERA_KEY, "no record of an era");
+		edge_log_unreadable(en, EDGE_ERA_KEY, "not a record of an era");
 		return;
 	}
 	en->era.record_version = version;
 	en->era.recorded_era = jsn_int(o, "era", 0);
-	/* The first to note it was sooner than we. */
+	/* The entry that wrote it detected the restore earlier. */
 	if (en->era.recorded_era == sto_era(en->store))
 		en->era.began_true_ms = jsn_int(o, "at_ms", 0);
 }
@@ -114,10 +122,11 @@
 }
 
 /*
- * All keys of ours were read for the first time. If nobody has noted this era
- * yet it may have begun just now.
+ * The system keys were read for the first time. If this era is not recorded, it
+ * may have begun just now; except at the very first start, when there is no
+ * earlier state to lose.
  */
-static void learn_first(struct edge *en, int64_t now)
+static void on_first_read(struct edge *en, int64_t now)
 {
 	en->era.record_read = true;
 	if (en->era.recorded_era == sto_era(en->store) || en->era.began_true_ms)
@@ -128,14 +137,15 @@
 
 void edge_era_tick(struct edge *en, int64_t now)
 {
-	const struct edge_watch *own = &en->watches[EDGE_WATCH_SYSTEM];
+	const struct edge_watch *system_watch = &en->watches[EDGE_WATCH_SYSTEM];
 
-	if (!own->mirror.complete || !sto_era(en->store))
+	if (!system_watch->mirror.complete || !sto_era(en->store))
 		return;
 	if (!en->era.record_read)
-		learn_first(en, now);
-	if (en->era.recorded_era == sto_era(en->store) || own->resyncing ||
-	    en->watch_rank != 0 || now < en->era.next_write_ms)
+		on_first_read(en, now);
+	if (en->era.recorded_era == sto_era(en->store) ||
+	    system_watch->resyncing || en->watch_rank != 0 ||
+	    now < en->era.next_write_ms)
 		return;
 	en->era.next_write_ms = now + RECORD_RETRY_MS;
 	write_record(en);
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -1,17 +1,20 @@
-/* Our registration in the store under a lease, and the duties that hang on
- * it. */
+/*
+ * The lease of this entry: its registration in the store and the election of
+ * the duty holder are bound to it.
+ */
 #include <stdio.h>
 #include <string.h>
 
 #include "edge/edge_internal.h"
 
 /*
- * The lease of our registration. Callers are given our address until it
- * ends, so it is short; it is renewed three times in that time, and a
- * renewal counts as a tenth of a read.
+ * Duration of the lease. Short, since look-ups return the address of an entry
+ * that has exited until its lease expires. It is renewed three times in that
+ * time; the store counts a renewal as a tenth of a read.
  */
 #define LEASE_MS 3000
 #define RENEW_MS 900
+/* Delay after a call that failed. */
 #define LEASE_RETRY_MS 250
 
 void edge_lease_format_holder(const struct edge *en, char *out, size_t size)
@@ -31,7 +34,7 @@
 
 /* ---- Registration ---- */
 
-static void lease_lost(struct edge *en, int64_t now)
+static void drop_lease(struct edge *en, int64_t now)
 {
 	en->lease.id = 0;
 	en->lease.expires_ms = 0;
@@ -41,7 +44,7 @@
 
 void edge_lease_invalidate(struct edge *en, int64_t next_ms)
 {
-	lease_lost(en, edge_now(en));
+	drop_lease(en, edge_now(en));
 	en->lease.next_call_ms = next_ms;
 }
 
@@ -57,7 +60,7 @@
 		return;
 	}
 	if (a->outcome == STO_ABSENT)
-		lease_lost(en, now);
+		drop_lease(en, now);
 	en->lease.next_call_ms = now + LEASE_RETRY_MS;
 }
 
@@ -81,7 +84,7 @@
 	sto_call(en->store, &c, on_registered, en);
 }
 
-static void on_leased(void *arg, struct sto_answer *a)
+static void on_granted(void *arg, struct sto_answer *a)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -96,7 +99,7 @@
 	en->lease.next_call_ms = now;
 }
 
-static void on_kept(void *arg, struct sto_answer *a)
+static void on_renewed(void *arg, struct sto_answer *a)
 {
 	struct edge *en = arg;
 	const int64_t now = edge_now(en);
@@ -111,7 +114,7 @@
 		jlog_begin(en->log, JLOG_WARN, "lease_lost");
 		jlog_int(en->log, "lease", en->lease.id);
 		jlog_end(en->log);
-		lease_lost(en, now);
+		drop_lease(en, now);
 		en->lease.next_call_ms = now;
 	}
 }
@@ -129,7 +132,7 @@
 	}
 	c.kind = en->lease.id ? STO_LEASE_RENEW : STO_LEASE_GRANT;
 	en->lease.call_in_flight = true;
-	sto_call(en->store, &c, en->lease.id ? on_kept : on_leased, en);
+	sto_call(en->store, &c, en->lease.id ? on_renewed : on_granted, en);
 }
 
 void edge_lease_resign(struct edge *en)
@@ -145,7 +148,7 @@
 	sto_call(en->store, &c, sto_ignore_answer, NULL);
 }
 
-/* ---- Taking the duties ---- */
+/* ---- Election of the duty holder ---- */
 
 static void on_duty_taken(void *arg, struct sto_answer *a)
 {
@@ -163,7 +166,7 @@
 
 static void duty_tick(struct edge *en, int64_t now)
 {
-	char mine[128];
+	char holder[128];
 	struct sto_call c = { .kind = STO_WRITE,
 			      .nr_conditions = 1,
 			      .nr_rows = 1 };
@@ -175,11 +178,11 @@
 	    !lead_begin_acquire(&en->lead, edge_watch_rank(en, now),
 				en->lease.expires_ms, now))
 		return;
-	edge_lease_format_holder(en, mine, sizeof(mine));
+	edge_lease_format_holder(en, holder, sizeof(holder));
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY,
 					lead_expected_revision(&en->lead) };
-	c.rows[0] = (struct sto_row){ EDGE_DUTY_KEY, mine, strlen(mine),
+	c.rows[0] = (struct sto_row){ EDGE_DUTY_KEY, holder, strlen(holder),
 				      en->lease.id };
 	sto_call(en->store, &c, on_duty_taken, en);
 }
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -1,4 +1,8 @@
-/* Other entries: datagrams of facts. */
+/*
+ * Gossip: each entry sends its state to the others in UDP datagrams (gsp.h),
+ * and sums up what it received. Datagrams are not acknowledged; a later one
+ * replaces those that were lost.
+ */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <stdio.h>
@@ -10,52 +14,58 @@
 #include "base/hsh.h"
 #include "edge/edge_rollout.h"
 
-/* Peers that are told in one round. */
-#define ROUND_PEERS 8
+/* Peers that are sent a datagram in each gossip round. */
+#define PEERS_PER_ROUND 8
 
-/* With more peers each is told at least this often. */
-#define TELL_EACH_MS 600
-#define ROUND_MS 200
+/*
+ * With many peers, a round has more datagrams, so that no peer waits longer
+ * than this for the next one.
+ */
+#define MAX_SEND_INTERVAL_MS 600
+/* Interval between rounds (GOSSIP_INTERVAL_MS in edge.c). */
+#define ROUND_INTERVAL_MS 200
 
-/* Datagrams read in one turn of the loop. */
+/* Maximum number of datagrams read per wake-up of the event loop. */
 #define READ_BATCH 64
 
 /*
- * What was learned of the endpoints is told to an entry until it was heard
- * for so long: three rounds, of which one may be lost. The entries that keep
- * all counts are always told, since one of them orders endpoints by it.
+ * A peer counts as new for this long after its first datagram. Meanwhile it is
+ * sent the latency models and all suspects, in three rounds, of which one may
+ * be lost. Peers that keep all counts are always sent the models: one of these
+ * peers is the duty holder, which orders endpoints by them.
  */
-#define JUST_MET_MS 2000
+#define NEW_PEER_MS 2000
 
-/* Time constant of the mean of the prompts that peers report as being read. */
-#define TOLD_LOAD_MS 2000.0
+/* Time constant of the mean of the prefill tokens that peers report. */
+#define REPORTED_LOAD_MS 2000.0
 
 /*
- * Demands elsewhere are taken as current while more than this part of the
- * entries was heard lately: with a whole zone of four lost they still are,
- * and an entry that hears nobody judges accounts by its own part alone.
+ * The demands of other entries count as current if more than this share of the
+ * entries is alive. They still do when one of four zones is lost. An entry that
+ * receives no gossip limits accounts by its own share alone.
  */
-#define CURRENT_PART 0.7
+#define CURRENT_SHARE 0.7
 
-/* Demands below this are not told. */
-#define MIN_DEMAND 0.01
+/* Lower demands of an account are not sent. */
+#define MIN_DEMAND_PER_S 0.01
 
-/* Windows of usage that are told: the present one and those before it. */
-#define TOLD_WINDOWS 3
+/* Usage windows whose counts are sent: the current one and those before it. */
+#define GOSSIP_WINDOWS 3
 
-/* Estimates of the time of day from peers heard within a second. */
-#define MAX_ESTIMATES 64
+/* Maximum number of live peers' clocks that this one is compared with. */
+#define MAX_CLOCK_ESTIMATES 64
 
-/* ---- What we tell ---- */
+/* ---- Outgoing datagrams ---- */
 
-static void say_demands(struct edge *en, struct gsp_record *r, int64_t now)
+static void fill_demands(struct edge *en, struct gsp_record *r, int64_t now)
 {
 	struct acct *a;
 	double per_s;
 
 	cds_list_for_each_entry(a, &en->accounts.accounts, node) {
 		per_s = acct_demand(a, now);
-		if (per_s < MIN_DEMAND || r->nr_demands == GSP_MAX_DEMANDS)
+		if (per_s < MIN_DEMAND_PER_S ||
+		    r->nr_demands == GSP_MAX_DEMANDS)
 			continue;
 		str_copy(r->demands[r->nr_demands].account, a->name,
 			 GSP_NAME_SIZE);
@@ -63,7 +73,7 @@
 	}
 }
 
-static void say_loads(struct edge *en, struct gsp_record *r)
+static void fill_loads(struct edge *en, struct gsp_record *r)
 {
 	struct flt_endpoint *e;
 
@@ -78,7 +88,7 @@
 	}
 }
 
-static void say_services(struct edge *en, struct gsp_record *r, int64_t now)
+static void fill_services(struct edge *en, struct gsp_record *r, int64_t now)
 {
 	struct gsp_service *row;
 	struct svc *s;
@@ -92,8 +102,8 @@
 	}
 }
 
-/* True if somebody else tells the counts of this source itself. */
-static bool tells_itself(const struct edge *en, uint64_t source)
+/* True if the source is a live peer, which sends its counts itself. */
+static bool source_is_alive(const struct edge *en, uint64_t source)
 {
 	const struct prs_peer *p;
 
@@ -119,8 +129,8 @@
 	str_copy(c->account, account, GSP_NAME_SIZE);
 }
 
-static void say_own(uint64_t source, int64_t window, const char *account,
-		    int64_t runs, void *arg)
+static void add_own_count(uint64_t source, int64_t window, const char *account,
+			  int64_t runs, void *arg)
 {
 	struct edge *en = arg;
 
@@ -129,15 +139,15 @@
 }
 
 /*
- * What a dead process counted is passed on: an entry that started after its
- * death may be the one that reports.
+ * Counts of processes that have exited are passed on, since the entry that
+ * reports the usage may have started later.
  */
-static void say_of_the_dead(uint64_t source, int64_t window,
-			    const char *account, int64_t runs, void *arg)
+static void add_dead_count(uint64_t source, int64_t window, const char *account,
+			   int64_t runs, void *arg)
 {
 	struct edge *en = arg;
 
-	if (source != en->source && !tells_itself(en, source))
+	if (source != en->source && !source_is_alive(en, source))
 		add_count(&en->gossip_out, source, window, account, runs);
 }
 
@@ -146,7 +156,7 @@
 	const int64_t true_now = walltime_now(&en->walltime, now);
 	const int64_t age = force_age(&en->force, now);
 	const int64_t from =
-		usage_window(&en->usage, true_now) - TOLD_WINDOWS + 1;
+		usage_window(&en->usage, true_now) - GOSSIP_WINDOWS + 1;
 
 	gsp_clear(r);
 	str_copy(r->name, en->conf->name, GSP_NAME_SIZE);
@@ -160,25 +170,26 @@
 	r->cfg_version = en->force.cfg ? en->force.cfg->version : 0;
 	r->cfg_confirmed_age_ms = age == INT64_MAX ? -1 : age;
 	r->requests_per_s = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
-	say_demands(en, r, now);
-	say_loads(en, r);
-	say_services(en, r, now);
+	fill_demands(en, r, now);
+	fill_loads(en, r);
+	fill_services(en, r, now);
 	edge_fatal_fill_gossip(en, r, now);
-	edge_rollout_say(en, r, now);
-	/* Our own first: nobody else tells them. */
-	usage_each(&en->usage, from, say_own, en);
-	usage_each(&en->usage, from, say_of_the_dead, en);
+	edge_rollout_fill_gossip(en, r, now);
+	/* This entry's counts come first, since no other entry sends them. */
+	usage_each(&en->usage, from, add_own_count, en);
+	usage_each(&en->usage, from, add_dead_count, en);
 }
 
-/* Old news that is repeated in each datagram to those that had it. */
-#define REPEATED_FATAL 2
+/* Known suspects that are repeated in each datagram, after the new ones. */
+#define REPEATED_SUSPECTS 2
 
-/* It may have started just now, and know nothing of the endpoints. */
-static bool just_met(const struct prs_peer *p, int64_t now)
+/* The peer may have just started, without models and suspects. */
+static bool is_new_peer(const struct prs_peer *p, int64_t now)
 {
-	return now - p->boot_seen_ms < JUST_MET_MS;
+	return now - p->boot_seen_ms < NEW_PEER_MS;
 }
 
+/* Sends en->gossip_out to a peer, without the parts that it does not need. */
 static void send_to(struct edge *en, const struct prs_peer *p, int64_t now)
 {
 	const unsigned counts = en->gossip_out.nr_counts;
@@ -192,18 +203,19 @@
 	en->gossip_out.with_counts = p->collects_counts;
 	if (!p->collects_counts)
 		en->gossip_out.nr_counts = en->gossip_out.nr_tallies = 0;
-	if (!p->collects_counts && !just_met(p, now))
+	if (!p->collects_counts && !is_new_peer(p, now))
 		en->gossip_out.nr_services = 0;
-	if (!just_met(p, now) && fatal > en->nr_fatal_news + REPEATED_FATAL)
-		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_FATAL;
-	/* Long names may not fit: then less is told. */
+	if (!is_new_peer(p, now) &&
+	    fatal > en->nr_fatal_news + REPEATED_SUSPECTS)
+		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_SUSPECTS;
+	/* Drops rows if it does not fit, which long names may cause. */
 	while (!(n = gsp_encode(&en->gossip_out, bytes, sizeof(bytes))) &&
 	       en->gossip_out.nr_counts + en->gossip_out.nr_loads) {
 		en->gossip_out.nr_counts /= 2;
 		en->gossip_out.nr_loads /= 2;
 		en->gossip_out.nr_services /= 2;
 	}
-	/* A lost datagram costs nothing: the next one says more. */
+	/* Errors are ignored: the next datagram has all of it again. */
 	if (n)
 		sendto(en->gossip_fd, bytes, n, MSG_DONTWAIT | MSG_NOSIGNAL,
 		       (const struct sockaddr *)&p->addr, sizeof(p->addr));
@@ -213,16 +225,17 @@
 	en->gossip_out.nr_tallies = tallies;
 }
 
-static void tell_round(struct edge *en, int64_t now)
+static void send_round(struct edge *en, int64_t now)
 {
-	size_t want = ROUND_PEERS, i = 0;
+	size_t want = PEERS_PER_ROUND, i = 0;
 	const size_t n = en->prs.count;
 	struct prs_peer *p;
 
 	if (!n)
 		return;
-	if (n * ROUND_MS > want * TELL_EACH_MS)
-		want = (n * ROUND_MS + TELL_EACH_MS - 1) / TELL_EACH_MS;
+	if (n * ROUND_INTERVAL_MS > want * MAX_SEND_INTERVAL_MS)
+		want = (n * ROUND_INTERVAL_MS + MAX_SEND_INTERVAL_MS - 1) /
+		       MAX_SEND_INTERVAL_MS;
 	fill_record(en, &en->gossip_out, now);
 	edge_mark_count_keepers(en, now);
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
@@ -249,10 +262,13 @@
 	send_to(en, p, now);
 }
 
-/* ---- What we hear ---- */
+/* ---- Incoming datagrams ---- */
 
-/* Of services that the configuration names, so that others cost nothing. */
-static void learn_told(struct edge *en, const struct svc_snapshot *told)
+/*
+ * Adopts a peer's model of a service, if the service is configured: others must
+ * not take up memory.
+ */
+static void adopt_model(struct edge *en, const struct svc_snapshot *told)
 {
 	const struct cfg *c = en->force.cfg;
 	size_t i;
@@ -266,7 +282,8 @@
 	}
 }
 
-static void hear(struct edge *en, const struct gsp_record *r, int64_t now)
+static void apply_record(struct edge *en, const struct gsp_record *r,
+			 int64_t now)
 {
 	struct prs_peer *p =
 		prs_receive(&en->prs, r, now, walltime_now(&en->walltime, now));
@@ -282,9 +299,10 @@
 			    r->counts[i].window, r->counts[i].account,
 			    r->counts[i].runs);
 	for (i = 0; i < r->nr_services; i++)
-		learn_told(en, &r->services[i].estimates);
+		adopt_model(en, &r->services[i].estimates);
 	edge_fatal_apply_gossip(en, r, now);
-	edge_rollout_hear(en, edge_source(p->info.name, p->boot), r, now);
+	edge_rollout_apply_gossip(en, edge_source(p->info.name, p->boot), r,
+				  now);
 	at = prs_config_confirmed_ms(r, en->boot);
 	if (at)
 		force_confirm(&en->force, r->cfg_version, at);
@@ -304,7 +322,7 @@
 		if (n < 0)
 			return;
 		if (gsp_decode(&en->gossip_in, bytes, (size_t)n))
-			hear(en, &en->gossip_in, edge_now(en));
+			apply_record(en, &en->gossip_in, edge_now(en));
 	}
 }
 
@@ -333,29 +351,30 @@
 		}
 	}
 	t->entries = prs_count_running(&en->prs, now);
-	t->current = alive + 1 > t->entries * CURRENT_PART;
-	t->gossip_delay_ms = en->prs.count > ROUND_PEERS ? TELL_EACH_MS
-							 : ROUND_MS;
+	t->current = alive + 1 > t->entries * CURRENT_SHARE;
+	t->gossip_delay_ms = en->prs.count > PEERS_PER_ROUND
+				     ? MAX_SEND_INTERVAL_MS
+				     : ROUND_INTERVAL_MS;
 	acct_tick(t, now);
 }
 
 /*
- * A prompt is read within some tens of milliseconds, and peers tell of it
- * every few hundred: what was told is mostly over, and most of what waits now
- * was never told. Its mean over some seconds says how much waits there
- * usually.
+ * Averages the prefill tokens that peers reported. A prefill takes some tens of
+ * milliseconds, and reports come every few hundred: most reported prefills are
+ * over, and most of those that wait were never reported. The mean over a few
+ * seconds estimates how much usually waits.
  */
 static void smooth_loads(struct edge *en, int64_t now)
 {
-	const double left =
-		en->conf->policy.mean_reports
-			? fade_left(TOLD_LOAD_MS, en->loads_averaged_ms, now)
-			: 0;
+	const double weight = en->conf->policy.mean_reports
+				      ? fade_left(REPORTED_LOAD_MS,
+						  en->loads_averaged_ms, now)
+				      : 0;
 	struct flt_endpoint *e;
 
 	en->loads_averaged_ms = now;
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node)
-		flt_smooth_peer_prefill(e, left);
+		flt_smooth_peer_prefill(e, weight);
 }
 
 void edge_peer_sum_loads(struct edge *en, int64_t now)
@@ -384,21 +403,22 @@
 	smooth_loads(en, now);
 }
 
+/* Corrects this entry's time of day if it differs from the peers' median. */
 static void compare_clocks(struct edge *en, int64_t now)
 {
-	int64_t ahead[MAX_ESTIMATES + 1] = { 0 };
+	int64_t offsets[MAX_CLOCK_ESTIMATES + 1] = { 0 };
 	struct prs_peer *p;
 	size_t n = 1;
 	int64_t by;
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
-		if (n <= MAX_ESTIMATES && prs_alive(p, now))
-			ahead[n++] = p->clock_offset_ms;
+		if (n <= MAX_CLOCK_ESTIMATES && prs_alive(p, now))
+			offsets[n++] = p->clock_offset_ms;
 	}
-	by = walltime_correct(&en->walltime, ahead, n);
+	by = walltime_correct(&en->walltime, offsets, n);
 	if (!by)
 		return;
-	/* What was heard is judged anew by the next datagrams. */
+	/* Keeps the offsets relative to the corrected clock. */
 	cds_list_for_each_entry(p, &en->prs.peers, node)
 		p->clock_offset_ms -= by;
 	jlog_begin(en->log, JLOG_WARN, "clock_corrected");
@@ -407,7 +427,7 @@
 	jlog_end(en->log);
 }
 
-/* Peers count as sending above this request rate. */
+/* A peer above this rate counts as sending requests to endpoints. */
 #define SENDING_REQUESTS_PER_S 0.5
 
 static unsigned count_sending_peers(const struct edge *en, int64_t now)
@@ -424,7 +444,7 @@
 
 void edge_peer_tick(struct edge *en, int64_t now)
 {
-	tell_round(en, now);
+	send_round(en, now);
 	en->sending_peers = count_sending_peers(en, now);
 	en->watch_rank = edge_watch_rank(en, now);
 	edge_peer_sum_demands(en, now);
@@ -434,7 +454,7 @@
 	prs_expire(&en->prs, now);
 }
 
-/* ---- Life ---- */
+/* ---- Start ---- */
 
 int edge_peer_open(struct edge *en, struct err *e)
 {
@@ -446,7 +466,7 @@
 	    hsc_server_open(&en->peers, en->loop, &addr, &edge_peer_http_vtable,
 			    en, e))
 		return -1;
-	/* Datagrams on the same port, also if any free one was asked for. */
+	/* UDP uses the port of the listener, which may be chosen (port 0). */
 	hsc_server_address(&en->peers, en->peer_address,
 			   sizeof(en->peer_address));
 	if (ioc_address(en->peer_address, &addr, e))
@@ -455,7 +475,7 @@
 		socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (en->gossip_fd < 0 ||
 	    bind(en->gossip_fd, (const struct sockaddr *)&addr, sizeof(addr)))
-		return err_set(e, ERR_IO, "datagrams on %s: %s",
+		return err_set(e, ERR_IO, "gossip socket on %s: %s",
 			       en->peer_address, strerror(errno));
 	ev_io_init(&en->gossip_watcher, on_datagrams, en->gossip_fd, EV_READ);
 	en->gossip_watcher.data = en;
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -1,5 +1,7 @@
-/* Which entries do what only some of them should: watch the store, keep all
- * counts, be named to callers. */
+/*
+ * Selection of entries for roles that only a few of them have: to watch the
+ * store, to keep all usage counts, to be advertised to callers.
+ */
 #include <assert.h>
 #include <string.h>
 
@@ -7,22 +9,24 @@
 #include "member/named.h"
 
 /*
- * Entries that are told all counts beside the holder of the duties: what a
- * dead entry counted is lost only if these and the holder die with it. Told
- * to all, counts were three quarters of the bytes between entries.
+ * Entries that are sent all usage counts, in addition to the duty holder. The
+ * counts of a crashed entry are lost only if these and the duty holder crash
+ * with it. When the counts were sent to all entries, they made up three
+ * quarters of the bytes of gossip.
  */
-#define KEEPERS 3
+#define NR_COUNT_KEEPERS 3
 
 /* ---- Watching the store ---- */
 
-/* How many of those that are ranked watch the store. */
-static size_t watchers(const struct edge *en)
+/* Number of the ranked entries that watch the store. */
+static size_t nr_watchers(const struct edge *en)
 {
 	const size_t n = feed_watcher_count((unsigned)en->ranking.n);
 
 	return n < en->ranking.n ? n : en->ranking.n;
 }
 
+/* Sorts the entries that can reach the store into en->ranking. */
 static void rank_watchers(struct edge *en, int64_t now)
 {
 	struct prs_peer *p;
@@ -33,7 +37,7 @@
 		if (prs_alive(p, now) && p->store_ok && p->accepting)
 			rank_add(&en->ranking, p->info.name, p->info.zone, p);
 	}
-	rank_select(&en->ranking, watchers(en));
+	rank_select(&en->ranking, nr_watchers(en));
 }
 
 int edge_watch_rank(struct edge *en, int64_t now)
@@ -41,7 +45,7 @@
 	size_t i;
 
 	rank_watchers(en, now);
-	for (i = 0; i < watchers(en); i++) {
+	for (i = 0; i < nr_watchers(en); i++) {
 		if (!en->ranking.rows[i].entry)
 			return (int)i;
 	}
@@ -54,12 +58,12 @@
 
 	if (edge_watch_rank(en, now) >= 0)
 		return NULL;
-	n = watchers(en);
+	n = nr_watchers(en);
 	assert(n);
 	return rank_for_key(&en->ranking, n, en->source)->entry;
 }
 
-/* ---- Counts of usage ---- */
+/* ---- Usage counts ---- */
 
 void edge_mark_count_keepers(struct edge *en, int64_t now)
 {
@@ -72,16 +76,17 @@
 		if (prs_alive(p, now))
 			rank_add(&en->ranking, p->info.name, p->info.zone, p);
 	}
-	rank_select(&en->ranking, KEEPERS);
-	for (i = 0; i < en->ranking.n && i < KEEPERS; i++) {
+	rank_select(&en->ranking, NR_COUNT_KEEPERS);
+	for (i = 0; i < en->ranking.n && i < NR_COUNT_KEEPERS; i++) {
 		p = en->ranking.rows[i].entry;
 		p->collects_counts = true;
 	}
 }
 
-/* ---- Being named to callers ---- */
+/* ---- Addresses for callers ---- */
 
-static double load_of_all(const struct edge *en, int64_t now)
+/* Callers' requests per second at all entries. */
+static double total_request_rate(const struct edge *en, int64_t now)
 {
 	const struct prs_peer *p;
 	double sum = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
@@ -93,16 +98,20 @@
 	return sum;
 }
 
-static const char *address_of(const struct edge *en, const struct rank_row *row)
+static const char *callers_address(const struct edge *en,
+				   const struct rank_row *row)
 {
 	const struct prs_peer *p = row->entry;
 
 	return p ? p->info.client_address : en->conf->listen.callers;
 }
 
-/* If no entry is heard the cut may be ours: then all that are registered. */
-static size_t all_registered(const struct edge *en, const char **out,
-			     size_t max)
+/*
+ * The addresses of all registered entries. For the case that no live entry is
+ * known: this entry may be the one that is cut off.
+ */
+static size_t registered_addresses(const struct edge *en, const char **out,
+				   size_t max)
 {
 	const struct prs_peer *p;
 	size_t n = 0;
@@ -119,7 +128,7 @@
 {
 	struct rank *r = &en->ranking;
 	struct prs_peer *p;
-	size_t named, first, n;
+	size_t nr_advertised, first, n;
 
 	rank_init(r, RANK_ADVERTISE);
 	if (edge_is_ready(en))
@@ -129,12 +138,15 @@
 			rank_add(r, p->info.name, p->info.zone, p);
 	}
 	if (!r->n)
-		return all_registered(en, out, max);
+		return registered_addresses(en, out, max);
 	rank_interleave_zones(r);
-	named = named_count(load_of_all(en, now), r->n);
-	/* Of more than fit into an answer each answer has others. */
-	first = named > max ? rnd_below(&en->rnd, (uint32_t)named) : 0;
-	for (n = 0; n < named && n < max; n++)
-		out[n] = address_of(en, &r->rows[(first + n) % named]);
+	nr_advertised = named_count(total_request_rate(en, now), r->n);
+	/* If not all fit into an answer, each answer has others. */
+	first = nr_advertised > max
+			? rnd_below(&en->rnd, (uint32_t)nr_advertised)
+			: 0;
+	for (n = 0; n < nr_advertised && n < max; n++)
+		out[n] = callers_address(en,
+					 &r->rows[(first + n) % nr_advertised]);
 	return n;
 }
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -1,26 +1,30 @@
-/* Decisions about roll-outs, made by the holder of the duties. */
+/* Decisions about roll-outs, made by the duty holder. */
 #include <math.h>
 #include <string.h>
 
 #include "edge/edge_duty_internal.h"
 #include "edge/edge_rollout_internal.h"
 
-/* Time until all entries have sent their counts twice to a new holder. */
-#define SETTLED_MS 1500
+/* Time in which all entries send their counts twice to a new duty holder. */
+#define COUNTS_SETTLE_MS 1500
 
-/* Minimum delay before the next write. */
+/* Minimum delay between two writes. */
 #define WRITE_RETRY_MS 250
 
-/* Delay before a version that was listed without an order is used. */
+/*
+ * A version that is listed without an order is used after this delay, in which
+ * its order may still arrive.
+ */
 #define UNORDERED_DELAY_MS 5000
 
 /* ---- Observations ---- */
 
+/* Counts of a service's endpoints, by their version. */
 struct endpoint_sums {
-	int in_target, in_from;
-	int unordered; /* endpoints of neither version */
-	const char *unordered_version;
-	double former_running;
+	int in_target, in_from;	       /* listed and not draining */
+	int unordered;		       /* endpoints of neither version */
+	const char *unordered_version; /* of one of them */
+	double former_running;	       /* requests on endpoints of `from` */
 };
 
 static struct endpoint_sums sum_endpoints(const struct edge *en,
@@ -49,6 +53,7 @@
 	return s;
 }
 
+/* Adds the counts of all entries to `out`. */
 static void sum_counts(const struct edge_rollout *ro, struct tal *out)
 {
 	struct edge_peer_tally *t, *next;
@@ -58,7 +63,7 @@
 	tal_add(out, t->tally.rows, t->tally.nr_rows);
 }
 
-/* Minimum endpoints of the target to shift all traffic. */
+/* Minimum number of the target's endpoints to shift all traffic. */
 static int required_endpoints(const struct edge *en, const char *service,
 			      int in_from)
 {
@@ -75,7 +80,7 @@
 	struct edge_rollout *ro = arg;
 
 	ro->writing = false;
-	/* A roll-back may have been received while the write was under way. */
+	/* A roll-back may have been received during the write. */
 	ro->unwritten = a->outcome != STO_OK ||
 			ro->record.stage != ro->next.stage;
 	if (a->outcome == STO_OK)
@@ -98,7 +103,7 @@
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
 	c.conditions[1] =
 		(struct sto_condition){ buf_cstr(&key), ro->record_version };
-	if (ro->next.stage != ROL_UNORDERED) /* no order: no status to write */
+	if (ro->next.stage != ROL_UNORDERED) /* no order, no status */
 		c.rows[c.nr_rows++] = (struct sto_row){ buf_cstr(&status_key),
 							status.data, status.len,
 							0 };
@@ -110,7 +115,7 @@
 	sto_call(en->store, &c, on_written, ro);
 }
 
-/* Writes a status that tells the operator why the order is refused. */
+/* Refuses an order; its status tells the operator why. */
 static void refuse_order(struct edge *en, struct edge_rollout *ro, int64_t now)
 {
 	BUF_AUTO key = BUF_INIT;
@@ -122,12 +127,12 @@
 
 	str_copy(r.service, ro->service, sizeof(r.service));
 	str_copy(r.target, ro->order.target, sizeof(r.target));
-	str_copy(r.why, ro->order_fault, sizeof(r.why));
+	str_copy(r.why, ro->order_error, sizeof(r.why));
 	ro->refused_version = ro->order.version;
 	jlog_begin(en->log, JLOG_WARN, "rollout_refused");
 	jlog_str(en->log, "service", ro->service);
 	jlog_str(en->log, "target", ro->order.target);
-	jlog_str(en->log, "why", ro->order_fault);
+	jlog_str(en->log, "why", ro->order_error);
 	jlog_end(en->log);
 	en->wire->encode_rollout_status(&r, &key, &value);
 	c.conditions[0] =
@@ -140,7 +145,7 @@
 
 /* ---- Decisions ---- */
 
-/* True if the watch of orders is complete. */
+/* True if all orders were read since this entry holds the duties. */
 static bool orders_known(const struct edge *en)
 {
 	const struct edge_watch *w = &en->watches[EDGE_WATCH_ROLLOUTS];
@@ -187,10 +192,12 @@
 		met_inc(en->m.rollouts_rolled_back);
 }
 
-/* Applies ro->next locally and sends it to other entries through the store, and
- * roll-backs by datagram too. */
-static void carry_out(struct edge *en, struct edge_rollout *ro,
-		      const struct rol_observation *s, int64_t now)
+/*
+ * Applies ro->next here and writes it to the store, where the other entries
+ * read it. Roll-backs are sent by gossip, too.
+ */
+static void carry_out_step(struct edge *en, struct edge_rollout *ro,
+			   const struct rol_observation *s, int64_t now)
 {
 	const struct rol_record next = ro->next;
 
@@ -198,26 +205,29 @@
 	count_end(en, &next);
 	edge_rollout_apply(en, ro, &next);
 	if (next.stage == ROL_COMPLETED)
-		edge_scale_forget_service(en->duty, ro->service);
+		edge_scale_reset_orders(en->duty, ro->service);
 	write_record(en, ro, now);
 	if (next.stage == ROL_ROLLED_BACK)
 		edge_peer_broadcast(en, now);
 }
 
-/* Accepts a version listed without an order, if no roll-out is in progress. */
+/*
+ * Accepts a version that was listed without an order for UNORDERED_DELAY_MS, if
+ * no roll-out is in progress: sets ro->next and returns true when it is due.
+ */
 static bool accept_unordered(struct edge_rollout *ro,
 			     const struct endpoint_sums *sums,
 			     const struct rol_observation *s, int64_t now)
 {
 	if (!sums->unordered || ro->ordered) {
-		ro->unordered_ms = 0;
+		ro->unordered_since_ms = 0;
 		return false;
 	}
-	if (!ro->unordered_ms)
-		ro->unordered_ms = now;
-	if (now - ro->unordered_ms < UNORDERED_DELAY_MS)
+	if (!ro->unordered_since_ms)
+		ro->unordered_since_ms = now;
+	if (now - ro->unordered_since_ms < UNORDERED_DELAY_MS)
 		return false;
-	ro->unordered_ms = 0;
+	ro->unordered_since_ms = 0;
 	memset(&ro->next, 0, sizeof(ro->next));
 	str_copy(ro->next.service, ro->service, sizeof(ro->next.service));
 	str_copy(ro->next.from, s->established, sizeof(ro->next.from));
@@ -229,7 +239,7 @@
 	return true;
 }
 
-/* Computes ro->next; true if it has to be carried out. */
+/* Sets ro->next; true if it has to be carried out. */
 static bool decide(struct edge *en, struct edge_rollout *ro,
 		   const struct endpoint_sums *sums,
 		   const struct rol_observation *s, int64_t now)
@@ -240,7 +250,7 @@
 	};
 
 	ro->next = ro->record;
-	if (ro->ordered && ro->order_sound &&
+	if (ro->ordered && ro->order_valid &&
 	    (!ro->recorded || !rol_matches_order(&ro->record, &ro->order))) {
 		rol_begin(&ro->next, &ro->order, s);
 		return true;
@@ -264,11 +274,11 @@
 /* Refuses orders for services that are not configured. */
 static void check_order(struct edge *en, struct edge_rollout *ro)
 {
-	if (!ro->order_sound || knows_service(en, ro->service))
+	if (!ro->order_valid || knows_service(en, ro->service))
 		return;
-	ro->order_sound = false;
-	str_copy(ro->order_fault, "the configuration has no such service",
-		 sizeof(ro->order_fault));
+	ro->order_valid = false;
+	str_copy(ro->order_error, "the configuration has no such service",
+		 sizeof(ro->order_error));
 }
 
 void edge_rollout_decide(struct edge *en, struct edge_rollout *ro, int64_t now)
@@ -282,13 +292,15 @@
 		return;
 	if (ro->ordered && en->force.cfg)
 		check_order(en, ro);
-	if (ro->ordered && !ro->order_sound &&
+	if (ro->ordered && !ro->order_valid &&
 	    ro->refused_version != ro->order.version) {
 		refuse_order(en, ro, now);
 		return;
 	}
-	/* The store may lack it after a restore, a failed write, or a roll-back
-	 * that was received by datagram. */
+	/*
+	 * The store may lack the record after it was restored, after a failed
+	 * write, or if a roll-back was received by gossip.
+	 */
 	if (ro->recorded && ro->record.order &&
 	    (ro->unwritten || !ro->record_version)) {
 		ro->next = ro->record;
@@ -300,30 +312,30 @@
 	if (ro->recorded && rol_in_progress(&ro->record))
 		sum_counts(ro, &counts);
 	s.now_ms = walltime_now(&en->walltime, now);
-	s.counts_complete = now - en->lead.held_since_ms >= SETTLED_MS;
+	s.counts_complete = now - en->lead.held_since_ms >= COUNTS_SETTLE_MS;
 	s.target_endpoints = sums.in_target;
 	s.required_endpoints =
 		required_endpoints(en, ro->service, sums.in_from);
 	s.former_running = sums.former_running;
 	s.established = edge_rollout_serving(ro);
 	if (decide(en, ro, &sums, &s, now))
-		carry_out(en, ro, &s, now);
+		carry_out_step(en, ro, &s, now);
 }
 
 /* ---- Orders ---- */
 
-void edge_rollout_ordered(struct edge *en, const char *key, const char *value,
-			  size_t len, int64_t version)
+void edge_rollout_order_seen(struct edge *en, const char *key,
+			     const char *value, size_t len, int64_t version)
 {
 	struct edge_rollout *ro =
 		edge_rollout_of(en, key + strlen(en->wire->rollout_prefix));
 	struct err e = ERR_INIT;
 
 	ro->ordered = true;
-	ro->order_sound =
+	ro->order_valid =
 		en->wire->decode_rollout(key, value, len, &ro->order, &e) == 0;
 	ro->order.version = version;
-	str_copy(ro->order_fault, e.text, sizeof(ro->order_fault));
+	str_copy(ro->order_error, e.text, sizeof(ro->order_error));
 	jlog_begin(en->log, JLOG_INFO, "rollout_ordered");
 	jlog_str(en->log, "service", ro->service);
 	jlog_str(en->log, "target", ro->order.target);
@@ -333,9 +345,9 @@
 	edge_rollout_decide(en, ro, edge_now(en));
 }
 
-void edge_rollout_withdrawn(struct edge *en, const char *key)
+void edge_rollout_order_deleted(struct edge *en, const char *key)
 {
-	/* After a restore of the store, operators write lost orders again. */
+	/* The restored store may have lost it; operators write it again. */
 	if (en->watches[EDGE_WATCH_ROLLOUTS].resyncing)
 		return;
 	edge_rollout_of(en, key + strlen(en->wire->rollout_prefix))->ordered =
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -1,5 +1,7 @@
-/* Orders for endpoints: what the plan wants, against what was ordered and
- * what is there. */
+/*
+ * Scaling by the duty holder: plans the number of endpoints of each service and
+ * zone (scale.h), and orders these numbers from the platform.
+ */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,18 +9,23 @@
 #include "edge/edge_duty_internal.h"
 #include "edge/edge_rollout.h"
 
-/* Granted endpoints count as missing this long after their start-up time. */
-#define ORDER_EXTRA_MS 1000
+/*
+ * Granted endpoints that are not listed this long after their start-up time
+ * count as missing.
+ */
+#define START_MARGIN_MS 1000
 
-/* A zone without capacity is not asked again before. */
-#define DRY_MS 2500
+/* Delay before the next order after a zone had no capacity (status 409). */
+#define NO_CAPACITY_RETRY_MS 2500
 
 /* ---- Orders ---- */
 
-static struct edge_order *order_of(struct edge_duty *d, const char *service,
-				   const char *zone, bool reclaimable)
+/* Returns the row of these orders, created on first use. */
+static struct edge_scale_order *get_order(struct edge_duty *d,
+					  const char *service, const char *zone,
+					  bool reclaimable)
 {
-	struct edge_order *o;
+	struct edge_scale_order *o;
 	size_t i;
 
 	for (i = 0; i < d->nr_orders; i++) {
@@ -34,63 +41,64 @@
 	str_copy(o->service, service, sizeof(o->service));
 	str_copy(o->zone, zone, sizeof(o->zone));
 	o->reclaimable = reclaimable;
-	o->number = -1;
+	o->accepted_number = -1;
 	return o;
 }
 
-static struct edge_scaled *scaled_of(struct edge_duty *d, const char *service,
-				     int64_t now)
+/* Returns the plan of a service, created on first use. */
+static struct edge_plan *get_plan(struct edge_duty *d, const char *service,
+				  int64_t now)
 {
-	const struct saved_plan_row *before;
-	struct edge_scaled *row;
+	const struct saved_plan_row *former;
+	struct edge_plan *plan;
 	size_t i;
 
-	for (i = 0; i < d->nr_scaled; i++) {
-		if (!strcmp(d->scaled[i].service, service))
-			return &d->scaled[i];
+	for (i = 0; i < d->nr_plans; i++) {
+		if (!strcmp(d->plans[i].service, service))
+			return &d->plans[i];
 	}
-	d->scaled = realloc(d->scaled, (d->nr_scaled + 1) * sizeof(*row));
-	assert(d->scaled);
-	row = &d->scaled[d->nr_scaled++];
-	memset(row, 0, sizeof(*row));
-	str_copy(row->service, service, sizeof(row->service));
-	row->eased_ms = now;
-	/* The former holder's plan, from the store. */
-	before = d->en->conf->policy.carry_plan
+	d->plans = realloc(d->plans, (d->nr_plans + 1) * sizeof(*plan));
+	assert(d->plans);
+	plan = &d->plans[d->nr_plans++];
+	memset(plan, 0, sizeof(*plan));
+	str_copy(plan->service, service, sizeof(plan->service));
+	plan->firm_held_ms = now;
+	/* Continues the plan of the former holder, from the store. */
+	former = d->en->conf->policy.carry_plan
 			 ? saved_plan_find(&d->en->plan, service)
 			 : NULL;
-	if (before) {
-		row->need = before->need;
-		row->firm_held = before->on_demand_held;
+	if (former) {
+		plan->need = former->need;
+		plan->firm_held = former->on_demand_held;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "plan_begun");
 	jlog_str(d->en->log, "service", service);
-	jlog_bool(d->en->log, "carried", before != NULL);
-	jlog_num(d->en->log, "need", row->need.need);
-	jlog_num(d->en->log, "usual", row->need.baseline);
+	jlog_bool(d->en->log, "carried", former != NULL);
+	jlog_num(d->en->log, "need", plan->need.need);
+	jlog_num(d->en->log, "usual", plan->need.baseline);
 	jlog_int(d->en->log, "fence", d->en->lead.fence);
 	jlog_end(d->en->log);
-	return row;
+	return plan;
 }
 
-void edge_scale_forget(struct edge_duty *d)
+void edge_scale_reset(struct edge_duty *d)
 {
 	free(d->orders);
-	free(d->scaled);
+	free(d->plans);
 	d->orders = NULL;
-	d->scaled = NULL;
+	d->plans = NULL;
 	d->nr_orders = 0;
-	d->nr_scaled = 0;
-	d->order = NULL;
+	d->nr_plans = 0;
+	d->order_in_flight = NULL;
 }
 
-void edge_scale_forget_service(struct edge_duty *d, const char *service)
+void edge_scale_reset_orders(struct edge_duty *d, const char *service)
 {
 	size_t i;
 
 	for (i = 0; i < d->nr_orders; i++) {
 		if (!strcmp(d->orders[i].service, service))
-			d->orders[i].number = -1;
+			d->orders[i].accepted_number = -1;
 	}
 }
 
@@ -98,14 +106,14 @@
 {
 	size_t i;
 
-	for (i = 0; i < d->nr_scaled; i++) {
-		if (!strcmp(d->scaled[i].service, service))
-			return d->scaled[i].need.need;
+	for (i = 0; i < d->nr_plans; i++) {
+		if (!strcmp(d->plans[i].service, service))
+			return d->plans[i].need.need;
 	}
 	return 0;
 }
 
-static void send_order(struct edge_duty *d, struct edge_order *o,
+static void send_order(struct edge_duty *d, struct edge_scale_order *o,
 		       const struct scale_zone *z, int number)
 {
 	struct edge *en = d->en;
@@ -113,22 +121,22 @@
 	const int64_t now = edge_now(en);
 	struct buf wire = BUF_INIT;
 
-	if (!edge_duty_may_act(en) || d->calling)
+	if (!edge_duty_may_act(en) || d->call_in_flight)
 		return;
-	/* Orders include the endpoints of all versions. */
+	/* An order states the number of endpoints of all versions. */
 	en->wire->encode_scale(&w, o->service, o->zone, o->reclaimable,
 			       number + (o->reclaimable
 						 ? z->spot_other_version
 						 : z->on_demand_other_version),
 			       &wire);
-	d->order = o;
-	d->order_number = number;
+	d->order_in_flight = o;
+	d->ordered_number = number;
 	met_inc(en->m.scale_orders);
 	jlog_begin(en->log, JLOG_INFO, "order");
 	jlog_str(en->log, "service", o->service);
 	jlog_str(en->log, "zone", o->zone);
 	jlog_bool(en->log, "reclaimable", o->reclaimable);
-	jlog_int(en->log, "before", o->number);
+	jlog_int(en->log, "before", o->accepted_number);
 	jlog_int(en->log, "number", number);
 	jlog_int(en->log, "there", o->reclaimable ? z->spot : z->on_demand);
 	jlog_int(en->log, "apart",
@@ -137,56 +145,62 @@
 	jlog_int(en->log, "starting",
 		 o->reclaimable ? z->spot_starting : z->on_demand_starting);
 	jlog_int(en->log, "beside", o->reclaimable ? z->on_demand : z->spot);
-	jlog_num(en->log, "need", scaled_of(d, o->service, now)->need.need);
+	jlog_num(en->log, "need", get_plan(d, o->service, now)->need.need);
 	jlog_int(en->log, "fence", en->lead.fence);
 	jlog_end(en->log);
-	d->ordering = edge_duty_call(d, &wire);
-	if (!d->ordering)
-		d->order = NULL;
+	d->call_is_order = edge_duty_call(d, &wire);
+	if (!d->call_is_order)
+		d->order_in_flight = NULL;
 }
 
-void edge_scale_ended(struct edge_duty *d, int status)
+void edge_scale_order_ended(struct edge_duty *d, int status)
 {
-	struct edge_order *o = d->order;
+	struct edge_scale_order *o = d->order_in_flight;
 	const int64_t now = edge_now(d->en);
 
-	d->order = NULL;
+	d->order_in_flight = NULL;
 	if (!o)
 		return;
 	if (status == 200) {
-		o->number = d->order_number;
+		o->accepted_number = d->ordered_number;
 		o->accepted_ms = now;
 		return;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "order_refused");
 	jlog_str(d->en->log, "zone", o->zone);
 	jlog_bool(d->en->log, "reclaimable", o->reclaimable);
-	jlog_int(d->en->log, "number", d->order_number);
+	jlog_int(d->en->log, "number", d->ordered_number);
 	jlog_int(d->en->log, "status", status);
 	jlog_end(d->en->log);
-	o->dry_ms = now + (status == 409 ? DRY_MS : EDGE_DUTY_RETRY_MS);
+	o->retry_after_ms = now + (status == 409 ? NO_CAPACITY_RETRY_MS
+						 : EDGE_DUTY_RETRY_MS);
 }
 
 /*
- * The need until the load shows, as a part of what the operators allow in all
- * zones, so that the first wave finds prompt caches on enough endpoints. Those
- * that run are no guide: they register one after the other.
+ * The initial need, until there is load, is the configured maximum of all zones
+ * divided by this, so that the first burst finds enough endpoints with prompt
+ * caches. The number of running endpoints is not used as an estimate, since
+ * they register one after the other.
  */
-#define MAX_PART 6.0
+#define FIRST_MAX_DIVISOR 6.0
 
-/* Part of the running endpoints that a new holder takes for needed at least. */
-#define START_PART 3.0
+/*
+ * A new holder assumes that at least the number of running endpoints divided by
+ * this is needed.
+ */
+#define FIRST_RUNNING_DIVISOR 3.0
 
-/* What runs at a service's endpoints, and how many of them may be used. */
-struct edge_at_work {
-	double runs;
-	int usable;
+/* The load of a service's endpoints, over all entries. */
+struct edge_service_load {
+	double runs;  /* requests that run */
+	int usable;   /* endpoints that get new requests */
 	double slots; /* of one endpoint */
 };
 
-static struct edge_at_work at_work(struct edge *en, const char *service)
+static struct edge_service_load sum_service_load(struct edge *en,
+						 const char *service)
 {
-	struct edge_at_work w = { 0 };
+	struct edge_service_load w = { 0 };
 	struct flt_endpoint *e;
 
 	cds_list_for_each_entry(e, &en->fleet.endpoints, node) {
@@ -199,8 +213,9 @@
 	return w;
 }
 
-/* Prompt tokens to be read a second, of the requests at all entries. */
-static double reads_per_s(struct edge *en, const struct svc *s, int64_t now)
+/* Prompt tokens per second to be processed, of the requests at all entries. */
+static double total_prefill_rate(struct edge *en, const struct svc *s,
+				 int64_t now)
 {
 	double sum = svc_prefill_tokens_per_s(s, now);
 	struct prs_peer *p;
@@ -219,11 +234,11 @@
 }
 
 /*
- * Time to read a thousand tokens, over all entries: of many entries each sees
- * few answers, and plans that rest on the slope of one differ by half. The
- * holder of the duties is always told what its peers learned.
+ * Prefill time of 1000 tokens, ms: the mean of the entries' estimates. With
+ * many entries each sees few answers, and plans by the estimate of one differed
+ * by half. Peers always send their estimates to the duty holder.
  */
-static double read_ms_of_all(struct edge *en, const struct svc *s, int64_t now)
+static double mean_prefill_ms(struct edge *en, const struct svc *s, int64_t now)
 {
 	struct svc_slope mean = { 0 };
 	struct prs_peer *p;
@@ -245,31 +260,31 @@
 	return svc_slope_mean(&mean);
 }
 
-/* Endpoints that the load keeps busy, as far as it is known. */
-static double load_of(struct edge *en, const struct cfg_service *s,
-		      const struct edge_at_work *w)
+/* Number of endpoints that the known load keeps busy. */
+static double busy_endpoints(struct edge *en, const struct cfg_service *s,
+			     const struct edge_service_load *w)
 {
 	const struct svc *m = edge_service_model(en, s->name);
 	const double fit = svc_max_running(m, w->slots, s->gap_ms);
 
 	const struct svc_load load = {
-		.prefill_tokens_per_s = reads_per_s(en, m, edge_now(en)),
+		.prefill_tokens_per_s = total_prefill_rate(en, m, edge_now(en)),
 		.running = w->runs,
 		.endpoints = w->usable,
-		.prefill_ms = read_ms_of_all(en, m, edge_now(en)),
+		.prefill_ms = mean_prefill_ms(en, m, edge_now(en)),
 	};
 
 	return svc_busy_endpoints(m, &load, fit);
 }
 
-/* Endpoints of an order that were granted and may still be starting. */
-static int coming(const struct edge_order *o, int there, int64_t boot_ms,
-		  int64_t now)
+/* Endpoints of an accepted order that may still be starting. */
+static int starting_endpoints(const struct edge_scale_order *o, int there,
+			      int64_t boot_ms, int64_t now)
 {
-	if (o->number <= there ||
-	    now - o->accepted_ms >= boot_ms + ORDER_EXTRA_MS)
+	if (o->accepted_number <= there ||
+	    now - o->accepted_ms >= boot_ms + START_MARGIN_MS)
 		return 0;
-	return o->number - there;
+	return o->accepted_number - there;
 }
 
 /* Endpoints of other versions are counted separately, not in the plan. */
@@ -278,7 +293,7 @@
 {
 	const bool other_version = e->use != FLT_IN_USE;
 
-	if (other_version && edge_rollout_stopping(en, e))
+	if (other_version && edge_rollout_is_replaced(en, e))
 		return;
 	if (e->info.reclaimable)
 		*(other_version ? &z->spot_other_version : &z->spot) += 1;
@@ -287,8 +302,9 @@
 				: &z->on_demand) += 1;
 }
 
-static size_t zones_of(struct edge_duty *d, const struct cfg_service *s,
-		       struct scale_zone *zones)
+/* Fills in the state of the service's zones; returns their number. */
+static size_t collect_zones(struct edge_duty *d, const struct cfg_service *s,
+			    struct scale_zone *zones)
 {
 	const int64_t now = edge_now(d->en);
 	struct flt_endpoint *e;
@@ -296,7 +312,7 @@
 
 	for (i = 0; i < s->scaling.nr_prices && n < SCALE_ZONES; i++) {
 		struct scale_zone *z = &zones[n++];
-		const struct edge_order *order;
+		const struct edge_scale_order *order;
 
 		memset(z, 0, sizeof(*z));
 		str_copy(z->name, s->scaling.prices[i].zone, sizeof(z->name));
@@ -308,78 +324,87 @@
 				continue;
 			count_endpoint(d->en, z, e);
 		}
-		order = order_of(d, s->name, z->name, false);
-		z->no_on_demand_until_ms = order->dry_ms;
-		z->on_demand_starting =
-			coming(order, z->on_demand, s->scaling.boot_ms, now);
-		order = order_of(d, s->name, z->name, true);
-		z->no_spot_until_ms = order->dry_ms;
-		z->spot_starting =
-			coming(order, z->spot, s->scaling.boot_ms, now);
+		order = get_order(d, s->name, z->name, false);
+		z->no_on_demand_until_ms = order->retry_after_ms;
+		z->on_demand_starting = starting_endpoints(
+			order, z->on_demand, s->scaling.boot_ms, now);
+		order = get_order(d, s->name, z->name, true);
+		z->no_spot_until_ms = order->retry_after_ms;
+		z->spot_starting = starting_endpoints(order, z->spot,
+						      s->scaling.boot_ms, now);
 	}
 	return n;
 }
 
-static bool carry_out(struct edge_duty *d, const struct cfg_service *s,
-		      const struct scale_zone *z, bool reclaimable)
+/*
+ * Orders the planned number unless the last order still covers it, or was
+ * refused a short time ago. Returns true if an order was due.
+ */
+static bool place_order(struct edge_duty *d, const struct cfg_service *s,
+			const struct scale_zone *z, bool reclaimable)
 {
 	const int number = reclaimable ? z->want_spot : z->want_on_demand;
 	const int have = reclaimable ? z->spot : z->on_demand;
-	struct edge_order *o = order_of(d, s->name, z->name, reclaimable);
+	struct edge_scale_order *o =
+		get_order(d, s->name, z->name, reclaimable);
 	const int64_t now = edge_now(d->en);
 
-	if (now < o->dry_ms)
+	if (now < o->retry_after_ms)
 		return false;
-	/* There never were any, and none are wanted. */
-	if (o->number < 0 && !number && !have)
+	/* Nothing was ordered, nothing runs, and nothing is planned. */
+	if (o->accepted_number < 0 && !number && !have)
 		return false;
 	/*
-	 * Reclaimed endpoints do not come back: what is missing after the
-	 * start-up time is ordered again.
+	 * The platform does not replace reclaimed endpoints: those missing
+	 * after the start-up time are ordered again.
 	 */
-	if (o->number == number &&
+	if (o->accepted_number == number &&
 	    (have >= number ||
-	     now - o->accepted_ms < s->scaling.boot_ms + ORDER_EXTRA_MS))
+	     now - o->accepted_ms < s->scaling.boot_ms + START_MARGIN_MS))
 		return false;
 	send_order(d, o, z, number);
 	return true;
 }
 
 /*
- * A new holder knows nothing of the load before: it begins with what is
- * there, and with what the operators' bounds suggest.
+ * Updates the need by the current load. A new holder does not know the load of
+ * the past: it starts from the running endpoints and the configured maximum.
  */
-static void follow_load(struct edge_duty *d, const struct cfg_service *s,
+static void update_need(struct edge_duty *d, const struct cfg_service *s,
 			struct scale_need *need, const struct scale_zone *z,
 			size_t n)
 {
-	double first = s->scaling.max * (double)n / MAX_PART;
-	const struct edge_at_work w = at_work(d->en, s->name);
+	double first = s->scaling.max * (double)n / FIRST_MAX_DIVISOR;
+	const struct edge_service_load w = sum_service_load(d->en, s->name);
 	int there = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++)
 		there += z[i].on_demand + z[i].spot;
-	if (first < there / START_PART)
-		first = there / START_PART;
-	scale_update_need(need, load_of(d->en, s, &w), w.usable, first);
+	if (first < there / FIRST_RUNNING_DIVISOR)
+		first = there / FIRST_RUNNING_DIVISOR;
+	scale_update_need(need, busy_endpoints(d->en, s, &w), w.usable, first);
 }
 
-/* Plans again if on-demand endpoints would go too fast. */
-static void ease_firm(struct edge_scaled *d, struct scale_input *in,
-		      struct scale_zone *zones, size_t n)
+/*
+ * Plans again with a higher minimum if on-demand endpoints would be removed too
+ * fast (scale_ease).
+ */
+static void limit_firm_removal(struct edge_plan *plan, struct scale_input *in,
+			       struct scale_zone *zones, size_t n)
 {
 	int wanted = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++)
 		wanted += zones[i].want_on_demand;
-	d->firm_held = in->no_load_yet || !in->ease
-			       ? wanted
-			       : scale_limit_drain(d->firm_held, wanted,
-						   in->now_ms - d->eased_ms);
-	d->eased_ms = in->now_ms;
-	in->min_on_demand = (int)d->firm_held;
+	plan->firm_held =
+		in->no_load_yet || !in->ease
+			? wanted
+			: scale_limit_drain(plan->firm_held, wanted,
+					    in->now_ms - plan->firm_held_ms);
+	plan->firm_held_ms = in->now_ms;
+	in->min_on_demand = (int)plan->firm_held;
 	if (in->min_on_demand > wanted)
 		scale_plan(in, zones, n);
 }
@@ -388,7 +413,7 @@
 			 int64_t now)
 {
 	struct scale_zone zones[SCALE_ZONES];
-	const size_t n = zones_of(d, s, zones);
+	const size_t n = collect_zones(d, s, zones);
 	struct scale_input in = {
 		.min = s->scaling.min,
 		.max = s->scaling.max,
@@ -398,40 +423,40 @@
 		.loss_cover = d->en->conf->policy.loss_cover,
 		.ease = d->en->conf->policy.ease,
 	};
-	struct edge_scaled *row = scaled_of(d, s->name, now);
+	struct edge_plan *plan = get_plan(d, s->name, now);
 	size_t i;
 
-	follow_load(d, s, &row->need, zones, n);
-	in.no_load_yet = d->en->conf->first_start && !row->need.load_seen;
-	in.busy = row->need.need;
-	/* One for each zone at least, for their prompt caches. */
-	in.need = row->need.need < (double)n ? (double)n : row->need.need;
+	update_need(d, s, &plan->need, zones, n);
+	in.no_load_yet = d->en->conf->first_start && !plan->need.load_seen;
+	in.busy = plan->need.need;
+	/* At least one per zone, so that each zone keeps a prompt cache. */
+	in.need = plan->need.need < (double)n ? (double)n : plan->need.need;
 	scale_plan(&in, zones, n);
-	ease_firm(row, &in, zones, n);
-	/* Additions go before removals. */
+	limit_firm_removal(plan, &in, zones, n);
+	/* Additions are ordered before removals. */
 	for (i = 0; i < n; i++) {
 		if (zones[i].want_spot > zones[i].spot &&
-		    carry_out(d, s, &zones[i], true))
+		    place_order(d, s, &zones[i], true))
 			return;
 	}
 	for (i = 0; i < n; i++) {
-		if (carry_out(d, s, &zones[i], false) ||
-		    carry_out(d, s, &zones[i], true))
+		if (place_order(d, s, &zones[i], false) ||
+		    place_order(d, s, &zones[i], true))
 			return;
 	}
 }
 
 /* ---- The plan for the next holder ---- */
 
-/* The plan is written this often at most: each writing is a priced call. */
-#define PLAN_WRITE_MS 2000
+/* Minimum interval between writes of the plan; each is billed. */
+#define PLAN_WRITE_INTERVAL_MS 2000
 
 static void on_plan_written(void *arg, struct sto_answer *a)
 {
 	struct edge_duty *d = arg;
 
-	/* If it failed, the next look finds that the record still differs. */
-	d->writing_plan = false;
+	/* After a failure the record still differs, and is written again. */
+	d->plan_write_in_flight = false;
 	if (a->outcome != STO_OK)
 		met_inc(d->en->m.store_failures);
 }
@@ -449,26 +474,27 @@
 	c.conditions[0] =
 		(struct sto_condition){ EDGE_DUTY_KEY, en->lead.fence };
 	c.rows[0] = (struct sto_row){ EDGE_PLAN_KEY, value.data, value.len, 0 };
-	d->writing_plan = true;
+	d->plan_write_in_flight = true;
 	sto_call(en->store, &c, on_plan_written, d);
 }
 
-static void carry_on(struct edge_duty *d, int64_t now)
+static void store_plan(struct edge_duty *d, int64_t now)
 {
 	struct saved_plan plan = { .nr_rows = 0 };
 	struct saved_plan_row *row;
 	size_t i;
 
-	if (d->writing_plan || now - d->plan_written_ms < PLAN_WRITE_MS)
+	if (d->plan_write_in_flight ||
+	    now - d->plan_written_ms < PLAN_WRITE_INTERVAL_MS)
 		return;
-	for (i = 0; i < d->nr_scaled; i++) {
-		if (!d->scaled[i].need.load_seen)
+	for (i = 0; i < d->nr_plans; i++) {
+		if (!d->plans[i].need.load_seen)
 			continue;
-		row = saved_plan_row(&plan, d->scaled[i].service);
+		row = saved_plan_row(&plan, d->plans[i].service);
 		if (!row)
 			break;
-		row->need = d->scaled[i].need;
-		row->on_demand_held = d->scaled[i].firm_held;
+		row->need = d->plans[i].need;
+		row->on_demand_held = d->plans[i].firm_held;
 	}
 	if (!plan.nr_rows || !saved_plan_differs(&plan, &d->en->plan))
 		return;
@@ -481,13 +507,13 @@
 	const struct cfg *c = d->en->force.cfg;
 	size_t i;
 
-	if (!c || d->calling || d->step == STEP_SENDING ||
+	if (!c || d->call_in_flight || d->report_state == REPORT_SENDING ||
 	    !edge_duty_may_act(d->en))
 		return;
 	for (i = 0; i < c->nr_services; i++) {
 		if (c->services[i].has_scaling &&
-		    !edge_rollout_shifting(d->en, c->services[i].name))
+		    !edge_rollout_is_shifting(d->en, c->services[i].name))
 			plan_service(d, &c->services[i], now);
 	}
-	carry_on(d, now);
+	store_plan(d, now);
 }
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -1,67 +1,72 @@
-/* Following the store's keys: by a watch of our own, or by that of another
- * entry. */
+/*
+ * Watches of the store's keys, sent to the store or, as a follower, to another
+ * entry (the leader) that passes on the answers of its own watch.
+ */
 #include <assert.h>
 
 #include "base/zip.h"
 #include "edge/edge_internal.h"
 
 /*
- * A watch waits so long for a change. That it is held up, or its channel
- * silent, is noticed only after it. For endpoints it is a third of the time
- * after which one that leaves must get no new work: with the pause between
- * two watches, the trust in it (below) and the question that a follower then
- * asks the store itself, the list is 1.6 s old at most where two are allowed,
- * and 2 s where three are. Of the entries there is word by datagrams, too.
+ * How long the store holds a watch without changes. A stalled watch, or a
+ * silent connection, is noticed only after that time.
+ *
+ * For endpoints it is a third of the time after which a draining endpoint must
+ * get no new requests (bounds.drain_ms). With the pause between two watches,
+ * MAX_DIRECT_AGE_MS, and the call that a follower then sends to the store
+ * itself, the list is at most 1.6 s old where 2 s are allowed, and 2 s where
+ * 3 s are. The system keys are less urgent, since entries are also known by
+ * gossip: their watch has the maximum, which bounds that of endpoints, too.
  */
-#define ENDPOINTS_WAIT_PART 3
-#define ENDPOINTS_WAIT_MIN_MS 300
-#define OWN_WAIT_MS 2000
+#define ENDPOINTS_WAIT_DIVISOR 3
+#define MIN_ENDPOINTS_WAIT_MS 300
+#define MAX_WAIT_MS 2000
 
-/* At most the time that endpoints of an ordered version take to start. */
+/* Not longer than the endpoints of an ordered version take to start. */
 #define ROLLOUTS_WAIT_MS 2000
 
 /*
- * Following another entry's watch: it answers at least this often, and with
- * so much more time it counts as lost.
+ * A leader answers a follower after this wait at the latest. It counts as lost
+ * if its answer takes longer than that by the margin.
  */
 #define FOLLOW_WAIT_MS 900
-#define FOLLOW_EXTRA_MS 400
+#define FOLLOW_MARGIN_MS 400
 
 /*
- * After a lost leader the store is watched directly for so long; after one
- * that had not what we lacked, for the time in which one watch brings it.
+ * How long the store is watched directly after a leader was lost, or after it
+ * did not have the changes that this entry lacks; those take a single watch.
  */
-#define FOLLOW_REST_MS 2000
-#define FOLLOW_ONCE_MS 200
+#define LEADER_LOST_BACKOFF_MS 2000
+#define LEADER_BEHIND_BACKOFF_MS 200
 
 /*
- * What our watch brings is passed on only while our own way to the store
- * worked this lately: a leader that is cut off would leave its followers
- * blind beside a store that they can reach.
+ * Followers are served only if the last successful direct call to the store is
+ * not older. Else a leader that is cut off from the store would keep its
+ * followers without changes, although they can reach the store.
  */
-#define TRUST_WAY_MS 1300
+#define MAX_DIRECT_AGE_MS 1300
 
 /*
- * What is passed on is packed from this size on: below it a change is a
- * packet anyway. When fifty endpoints start or leave together, their changes
- * are more than may be passed on as they are, and 280 followers would each
- * read them from the store.
+ * Answers are compressed for followers from this size on; smaller ones fit into
+ * a packet anyway. When fifty endpoints start or leave together, the
+ * uncompressed changes exceed FEED_MAX_BYTES, and 280 followers would each read
+ * them from the store.
  */
-#define PACK_BYTES 1024
+#define MIN_PACK_BYTES 1024
 
-/* ---- The calls ---- */
+/* ---- Watches at the store ---- */
 
-static void failed(struct edge_watch *w, int64_t now)
+static void watch_failed(struct edge_watch *w, int64_t now)
 {
 	met_inc(w->en->m.store_failures);
 	mir_failed(&w->mirror, now);
 }
 
 /*
- * True if what was read is of an earlier era of the store: it is read anew,
- * and nobody follows us meanwhile.
+ * True if the mirror is of an earlier era than the store: starts to read all
+ * keys again, during which followers are not served.
  */
-static bool returned(struct edge_watch *w, int64_t now)
+static bool check_era(struct edge_watch *w, int64_t now)
 {
 	const int64_t era = sto_era(w->en->store);
 
@@ -81,13 +86,13 @@
 	size_t i;
 
 	if (a->outcome != STO_OK) {
-		failed(w, now);
+		watch_failed(w, now);
 		return;
 	}
-	/* The first page of all shows the era. */
+	/* The first page ever read sets the era. */
 	if (!w->mirror.complete && !w->mirror.first_page_rev)
 		w->era = a->era;
-	if (returned(w, now))
+	if (check_era(w, now))
 		return;
 	for (i = 0; i < a->nr_items; i++) {
 		if (a->items[i].value)
@@ -112,13 +117,13 @@
 			  a->items[i].len, a->items[i].revision);
 }
 
-/* For those that follow us, in as few bytes as they come to. */
-static void pass_on(struct edge_watch *w, const struct sto_answer *a)
+/* Keeps the answer for followers, compressed if that is worth it. */
+static void add_to_feed(struct edge_watch *w, const struct sto_answer *a)
 {
 	BUF_AUTO packed = BUF_INIT;
 	const bool any = a->nr_items > 0;
 
-	if (any && a->raw_len >= PACK_BYTES &&
+	if (any && a->raw_len >= MIN_PACK_BYTES &&
 	    zip_pack(a->raw, a->raw_len, &packed))
 		feed_add(&w->feed, w->mirror.revision, a->revision, any,
 			 packed.data, packed.len);
@@ -133,7 +138,7 @@
 	struct edge *en = w->en;
 	const int64_t now = edge_now(en);
 
-	if (returned(w, now))
+	if (check_era(w, now))
 		return;
 	if (a->outcome == STO_HISTORY_LOST) {
 		jlog_begin(en->log, JLOG_WARN, "store_history_lost");
@@ -145,10 +150,10 @@
 		return;
 	}
 	if (a->outcome != STO_OK) {
-		failed(w, now);
+		watch_failed(w, now);
 		return;
 	}
-	pass_on(w, a);
+	add_to_feed(w, a);
 	w->from_store = true;
 	apply_changes(w, a);
 	mir_watch_end(&w->mirror, a->nr_items > 0, a->revision, now);
@@ -156,26 +161,28 @@
 	edge_serve_followers(en, now);
 }
 
-/* ---- Following another entry's watch ---- */
+/* ---- Watches at another entry ---- */
 
 static void on_followed(void *arg, struct sto_answer *a)
 {
 	struct edge_watch *w = arg;
 	const int64_t now = edge_now(w->en);
 
-	if (returned(w, now))
+	if (check_era(w, now))
 		return;
 	if (a->outcome != STO_OK) {
-		/* The store itself is asked, at once: once if the leader has
-		 * not what we lack, else for a while. */
+		/*
+		 * Watches the store itself, at once: for a single watch if the
+		 * leader lacks the changes, else for a while.
+		 */
 		w->follow_after_ms = now + (a->outcome == STO_ABSENT
-						    ? FOLLOW_ONCE_MS
-						    : FOLLOW_REST_MS);
+						    ? LEADER_BEHIND_BACKOFF_MS
+						    : LEADER_LOST_BACKOFF_MS);
 		mir_failed(&w->mirror, now);
 		w->mirror.due_ms = now;
 		return;
 	}
-	/* Kept for the time when we watch the store and others follow us. */
+	/* Kept for the case that this entry becomes a leader. */
 	feed_add(&w->feed, w->mirror.revision, a->revision, a->nr_items > 0,
 		 a->raw, a->raw_len);
 	w->from_store = false;
@@ -184,6 +191,7 @@
 	w->complete_ms = now;
 }
 
+/* Sends the next watch to the leader; false: to be sent to the store. */
 static bool follow(struct edge_watch *w, int64_t now)
 {
 	struct edge *en = w->en;
@@ -197,7 +205,7 @@
 		return false;
 	w->following = true;
 	sto_follow(en->store, (unsigned)(w - en->watches), &p->addr,
-		   w->mirror.revision, FOLLOW_WAIT_MS, FOLLOW_EXTRA_MS,
+		   w->mirror.revision, FOLLOW_WAIT_MS, FOLLOW_MARGIN_MS,
 		   on_followed, w);
 	return true;
 }
@@ -207,16 +215,16 @@
 	const struct edge *en = w->en;
 
 	return !en->stopping && w->mirror.complete && !w->resyncing &&
-	       now - sto_direct_success_ms(en->store) <= TRUST_WAY_MS &&
+	       now - sto_direct_success_ms(en->store) <= MAX_DIRECT_AGE_MS &&
 	       feed_is_current(w->complete_ms, w->wait_ms, now);
 }
 
-/* ---- Life ---- */
+/* ---- Start and periodic work ---- */
 
-static void open_watch(struct edge *en, enum edge_watch_id keys,
+static void open_watch(struct edge *en, enum edge_watch_id id,
 		       const char *prefix, int wait_ms)
 {
-	struct edge_watch *w = &en->watches[keys];
+	struct edge_watch *w = &en->watches[id];
 
 	w->en = en;
 	w->prefix = prefix;
@@ -227,21 +235,21 @@
 
 static int endpoints_wait(const struct edge *en)
 {
-	const int ms = (int)en->conf->bounds.drain_ms / ENDPOINTS_WAIT_PART;
+	const int ms = (int)en->conf->bounds.drain_ms / ENDPOINTS_WAIT_DIVISOR;
 
-	if (ms < ENDPOINTS_WAIT_MIN_MS)
-		return ENDPOINTS_WAIT_MIN_MS;
-	return ms > OWN_WAIT_MS ? OWN_WAIT_MS : ms;
+	if (ms < MIN_ENDPOINTS_WAIT_MS)
+		return MIN_ENDPOINTS_WAIT_MS;
+	return ms > MAX_WAIT_MS ? MAX_WAIT_MS : ms;
 }
 
 void edge_watch_open(struct edge *en)
 {
 	static_assert(EDGE_CONFIG_LANE < STO_LANES,
-		      "each is followed by itself");
+		      "each followed watch and the configuration have a lane");
 
 	open_watch(en, EDGE_WATCH_ENDPOINTS, en->wire->endpoint_prefix,
 		   endpoints_wait(en));
-	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, OWN_WAIT_MS);
+	open_watch(en, EDGE_WATCH_SYSTEM, EDGE_SYSTEM_PREFIX, MAX_WAIT_MS);
 	open_watch(en, EDGE_WATCH_ROLLOUTS, en->wire->rollout_prefix,
 		   ROLLOUTS_WAIT_MS);
 }
@@ -264,9 +272,9 @@
 {
 	struct sto_call c = { .key = w->prefix };
 
-	/* Another call showed it; one of ours that is under way ends first. */
+	/* Another call may have shown a new era; one in flight ends first. */
 	if (!w->mirror.call_pending && w->mirror.complete && !w->resyncing)
-		returned(w, now);
+		check_era(w, now);
 	if (w->mirror.state == MIR_WATCH && !may_watch(w, now))
 		return;
 
