--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -215,7 +215,7 @@
 {
 	if (!r->account->by_tokens)
 		return 1;
-	if (!r->attempt.counted)
+	if (!r->attempt.has_token_counts)
 		return r->account->default_tokens;
 	return r->attempt.prompt_tokens + r->attempt.output_tokens;
 }
@@ -234,8 +234,8 @@
 	jlog_num(en->log, "share", acct_share(&en->accounts, a));
 	jlog_num(en->log, "rate", a->rate);
 	jlog_num(en->log, "demand", a->demand);
-	jlog_num(en->log, "demand_elsewhere", a->others);
-	jlog_int(en->log, "told_ms", en->accounts.told_ms);
+	jlog_num(en->log, "demand_elsewhere", a->demand_elsewhere);
+	jlog_int(en->log, "told_ms", en->accounts.gossip_delay_ms);
 	jlog_int(en->log, "after_ms", after_ms);
 	jlog_end(en->log);
 }
@@ -302,14 +302,14 @@
 	const unsigned n = prs_count_running(&en->prs, now);
 
 	if (!spend)
-		return again_has(retry_budget(r), &l, n, now);
+		return again_available(retry_budget(r), &l, n, now);
 	return again_spend(retry_budget(r), &l, n, now);
 }
 
 void edge_retry_refund(struct edge_req *r)
 {
 	if (r->retry_charged)
-		again_return(retry_budget(r));
+		again_refund(retry_budget(r));
 	r->retry_charged = false;
 }
 
@@ -435,7 +435,7 @@
 	ev_timer_stop(loop, t);
 	if (r->endpoint)
 		edge_rollout_failed(r, false);
-	edge_step(r, rq_time_up(&r->rq), "out of time");
+	edge_step(r, rq_timed_out(&r->rq), "out of time");
 }
 
 /* ---- Callers' connections ---- */
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -262,7 +262,7 @@
 /* Retries and requests with the same prompt prefix have the same key. */
 static uint64_t affinity_key(const struct edge_req *r)
 {
-	return r->attempt.shared_part ? r->attempt.shared_part : r->content.lo;
+	return r->attempt.prefix_hash ? r->attempt.prefix_hash : r->content.lo;
 }
 
 /* True if the watch of the records is up to date. */
--- a/tests/test_prs.c
+++ b/tests/test_prs.c
@@ -50,11 +50,11 @@
 	str_copy(r->counts[0].account, "two", GSP_NAME_SIZE);
 	r->store_era = 3;
 	r->nr_fatal = 1;
-	r->fatal[0] = (struct fatal_told){
+	r->fatal[0] = (struct fatal_gossip){
 		.content = { 7, 8 },
-		.nr_ends = 2,
-		.ends = { { 11, 1500, 150, false }, { 12, 20, 30, true } },
-		.run_at = 13,
+		.nr_crashes = 2,
+		.crashes = { { 11, 1500, 150, false }, { 12, 20, 30, true } },
+		.running_at = 13,
 	};
 }
 
@@ -86,10 +86,10 @@
 	CU_ASSERT_EQUAL(incoming.nr_fatal, 1);
 	CU_ASSERT(hsh_wide_equal(incoming.fatal[0].content,
 				 (struct hsh_wide){ 7, 8 }));
-	CU_ASSERT_EQUAL(incoming.fatal[0].run_at, 13);
-	CU_ASSERT_EQUAL(incoming.fatal[0].ends[0].age_ms, 1500);
-	CU_ASSERT_EQUAL(incoming.fatal[0].ends[1].weight, 30);
-	CU_ASSERT(incoming.fatal[0].ends[1].cleared);
+	CU_ASSERT_EQUAL(incoming.fatal[0].running_at, 13);
+	CU_ASSERT_EQUAL(incoming.fatal[0].crashes[0].age_ms, 1500);
+	CU_ASSERT_EQUAL(incoming.fatal[0].crashes[1].weight, 30);
+	CU_ASSERT(incoming.fatal[0].crashes[1].cleared);
 	CU_ASSERT_EQUAL(incoming.nr_tallies, 1);
 	CU_ASSERT_EQUAL(incoming.tallies[0].order, 21);
 	CU_ASSERT_EQUAL(incoming.tallies[0].row.route, 22);
@@ -173,7 +173,7 @@
 			continue;
 		CU_ASSERT(incoming.nr_counts <= GSP_MAX_COUNTS);
 		CU_ASSERT(incoming.nr_services <= GSP_MAX_SERVICES);
-		CU_ASSERT(incoming.nr_fatal <= FATAL_MAX_TOLD);
+		CU_ASSERT(incoming.nr_fatal <= FATAL_MAX_GOSSIP);
 		CU_ASSERT(incoming.nr_tallies <= GSP_MAX_TALLIES);
 		CU_ASSERT(incoming.nr_rolled_back <= GSP_MAX_ROLLED_BACK);
 		CU_ASSERT(strlen(incoming.name) < GSP_NAME_SIZE);
