--- a/lib/request/fatal_internal.h
+++ b/lib/request/fatal_internal.h
@@ -1,6 +1,6 @@
 /*
  * Internals that the parts of fatal share: the rows (fatal_rows.c), the gossip
- * (fatal_told.c), and the attribution of crashes (fatal.c).
+ * (fatal_gossip.c), and the attribution of crashes (fatal.c).
  */
 #ifndef FATAL_INTERNAL_H
 #define FATAL_INTERNAL_H
