--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -95,7 +95,7 @@
 				       ? hsh_str(r->attempt.id, r->sends) | 1
 				       : 0,
 		.use = use,
-		.prefix_tokens = r->attempt.prefix_tokens,
+		.shared_tokens = r->attempt.prefix_tokens,
 		.unshared_tokens =
 			r->attempt.prompt_tokens - r->attempt.prefix_tokens,
 		.now_ms = edge_now(en),
