--- a/lib/request/fatal.c
+++ b/lib/request/fatal.c
@@ -5,19 +5,25 @@
 #include "request/fatal_internal.h"
 
 /*
- * Lifetime of a suspicion: long enough to find a request that crashes an
- * endpoint every few minutes, short enough that one that met two crashes by
- * chance is released before a third.
+ * Lifetime of a suspicion. Long enough to find a request that crashes an
+ * endpoint every few minutes; short enough to release a request that met two
+ * crashes by chance before it meets a third.
  */
 #define KEEP_SUSPECT_MS 600000
 
 /* Cleared crashes are kept so that late gossip does not count them again. */
 #define KEEP_CLEARED_MS 10000
 
-/* An endpoint that crashed silently is off the list within four seconds. */
+/*
+ * Lifetime of a pending send. Within four seconds the endpoint list drops an
+ * endpoint that crashed silently.
+ */
 #define KEEP_PENDING_MS 6000
 
-/* A run elsewhere that is not gossiped for this long: its entry may be dead. */
+/*
+ * A run elsewhere is ignored after this long without gossip: its entry may have
+ * crashed.
+ */
 #define KEEP_RUN_MS 1500
 
 /*
@@ -120,7 +126,10 @@
 	return fatal_crash_count(row) - (e && !e->cleared);
 }
 
-/* The highest crash count among the requests that ran at an endpoint. */
+/*
+ * The highest crash count among the requests that ran at an endpoint, without
+ * the crash of that endpoint.
+ */
 struct suspicion {
 	unsigned max_crashes;
 	unsigned tied; /* number of requests that have it */
@@ -143,7 +152,7 @@
 	return b;
 }
 
-/* Weight of a crash that a send met after `ran_ms`, by the rate of chance. */
+/* Weight of a crash that a send met after `ran_ms`, at the current rate. */
 static unsigned chance_weight(const struct fatal *f, int64_t ran_ms,
 			      int64_t now)
 {
--- a/lib/request/fatal.h
+++ b/lib/request/fatal.h
@@ -2,20 +2,20 @@
  * fatal: detection of fatal (poison) requests, which crash the endpoint that
  * runs them, as opposed to requests that merely ran there at that time.
  *
- * A client retries under a new id and at any entry, so neither an attempt nor
- * an entry sees that it is the third endpoint that crashed. Crashes are
- * therefore counted by content, and gossiped as a set: sets can be merged in
- * any order, any number of times. Without this, one request would crash
- * endpoint after endpoint, and each crash would abort all other requests that
- * run there.
+ * A client retries under a new id and at any entry (a process that accepts
+ * client requests), so neither an attempt nor an entry sees that it is the
+ * third endpoint that crashed. Crashes are therefore counted by content, and
+ * gossiped as a set: sets can be merged in any order, any number of times.
+ * Without this, one request would crash endpoint after endpoint, and each crash
+ * would abort all other requests that run there.
  *
  * A crash counts against all requests that were running on the endpoint, unless
- * one of them is more suspect. Its weight grows as the probability shrinks that
- * a request of that duration meets a crash by chance. A complete answer clears
- * a request. A convicted request is quarantined, and explains the crashes of
- * others. A suspect runs isolated from others, and after
- * FATAL_STRONG_CRASHES crashes one at a time, so that the last crash aborts no
- * other request.
+ * one of them is more suspect. The less likely a request of that duration is to
+ * meet a crash by chance, the more the crash weighs. A complete answer clears a
+ * request. A convicted request is quarantined, and its crashes count little
+ * against the other requests that were there. A suspect runs isolated from
+ * others, and after FATAL_STRONG_CRASHES crashes one at a time, so that the
+ * last crash aborts no other request.
  */
 #ifndef FATAL_H
 #define FATAL_H
@@ -50,10 +50,10 @@
 #define FATAL_MAX_RUNS 8
 #define FATAL_MAX_PENDING 4
 
-/* Contents kept. Bounded because callers can send any number of them. */
+/* Rows kept, one per content: clients can send any number of contents. */
 #define FATAL_MAX_ROWS 512
 
-/* Quarantine after the last crash (1 h), unless released before. */
+/* Duration of the quarantine after the last crash, unless released: 1 h. */
 #define FATAL_KEEP_MS 3600000
 
 /* Rows in one gossip datagram. */
@@ -123,18 +123,24 @@
 	const struct fatal_vtable *vt;
 	void *arg; /* passed to the callbacks */
 	struct cds_list_head rows;
-	struct fatal_row *table;   /* by content */
-	unsigned count;		   /* rows */
-	struct fade crashed_sends; /* at crashes without strong suspect */
+	struct fatal_row *table; /* by content */
+	unsigned count;		 /* rows */
+	/* Decayed sums, for the rate at which sends meet a crash by chance. */
+	struct fade crashed_sends; /* aborted by a crash, no strong suspect */
 	struct fade ran_ms;	   /* total duration of sends */
 	unsigned next_in_turn;	   /* next row to gossip in rotation */
 };
 
 /* `vt` and `arg` must stay valid until fatal_free(). */
 void fatal_init(struct fatal *f, const struct fatal_vtable *vt, void *arg);
+
+/* Frees all rows. */
 void fatal_free(struct fatal *f);
 
-/* Returns the row, owned by `f`, or NULL if nothing is known of the content. */
+/*
+ * Returns the row, or NULL if nothing is known of the content. The row is owned
+ * by `f`, which may free it in any later call.
+ */
 struct fatal_row *fatal_find(struct fatal *f, struct hsh_wide content);
 
 /* Number of crashes that count against the request (not cleared). */
@@ -145,8 +151,8 @@
 
 enum fatal_verdict {
 	FATAL_SEND,	   /* without restriction */
-	FATAL_ISOLATE,	   /* suspect: send to an endpoint with few others */
-	FATAL_WAIT,	   /* convicted if the endpoints being probed crashed */
+	FATAL_ISOLATE,	   /* suspect: send where few other requests run */
+	FATAL_WAIT,	   /* convicted if the probes find crashes: wait */
 	FATAL_BUSY,	   /* strong suspect, and in flight already */
 	FATAL_QUARANTINED, /* convicted: do not send */
 };
@@ -161,8 +167,9 @@
 /*
  * Notes that a send broke off after `ran_ms` at an endpoint that has not
  * announced its shutdown. With `probing`, a call of fatal_endpoint_crashed(),
- * fatal_endpoint_alive() or fatal_endpoint_silent() must follow. Returns the
- * content's row, owned by `f`, made if there was none.
+ * fatal_endpoint_alive() or fatal_endpoint_silent() must follow. Beyond
+ * FATAL_MAX_PENDING endpoints the send is not noted. Returns the content's row,
+ * owned by `f`, made if there was none.
  */
 struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh_wide content,
 				   uint64_t endpoint, int64_t ran_ms,
@@ -175,8 +182,8 @@
 void fatal_add_run_time(struct fatal *f, int64_t ran_ms, int64_t now_ms);
 
 /*
- * The endpoint ended without announcing it: a crash counts against the requests
- * whose sends broke off there.
+ * The endpoint ended without announcing a shutdown: a crash counts against the
+ * requests whose sends broke off there.
  */
 void fatal_endpoint_crashed(struct fatal *f, uint64_t endpoint, int64_t now_ms);
 
@@ -232,13 +239,13 @@
 void fatal_record_found(struct fatal *f, struct hsh_wide content,
 			int64_t wall_ms, int64_t now_ms);
 
-/* The store lost the record; the conviction stands. */
+/* The store lost the record: sets record_lost, and the conviction stands. */
 void fatal_record_lost(struct fatal *f, struct hsh_wide content);
 
 /* The record was deleted from the store: ends the quarantine. */
 void fatal_release(struct fatal *f, struct hsh_wide content, int64_t now_ms);
 
-/* Drops rows and pending crashes past their lifetime. */
+/* Drops rows and pending sends past their lifetime. Call it periodically. */
 void fatal_expire(struct fatal *f, int64_t now_ms);
 
 #endif
--- a/lib/request/fatal_gossip.c
+++ b/lib/request/fatal_gossip.c
@@ -3,7 +3,7 @@
 
 #include "request/fatal_internal.h"
 
-/* A change is gossiped in each round for this long. */
+/* For this long after a change, a row is part of each gossip round. */
 #define FRESH_MS 3000
 
 static void fill_row(const struct fatal_row *row, uint64_t running_at,
--- a/lib/request/fatal_internal.h
+++ b/lib/request/fatal_internal.h
@@ -9,18 +9,18 @@
 
 /*
  * A weight is -100 * log10(p), where p is the probability that the request met
- * the crash by chance. One crash weighs at most as much as p = 1 %, and little
- * if another suspect may have caused it. A total of p = 10^-6 convicts: of all
- * requests that met three crashes by chance, one in ten thousand has three as
- * unlikely as that.
+ * the crash by chance. One crash weighs at most as much as p = 1 %, and as
+ * little as p = 50 % if another suspect may have caused it. A total of
+ * p = 10^-6 convicts: of all requests that met three crashes by chance, one in
+ * ten thousand has three as unlikely as that.
  */
 #define FATAL_MAX_WEIGHT 200
 #define FATAL_WEIGHT_SHARED 30
 #define FATAL_CONVICT_WEIGHT 600
 
 /*
- * Returns the content's row, owned by `f`; made if there is none. At the limit
- * this drops another row.
+ * Returns the content's row, owned by `f`; made if there is none. At
+ * FATAL_MAX_ROWS this drops another row.
  */
 struct fatal_row *fatal_get(struct fatal *f, struct hsh_wide content,
 			    int64_t now_ms);
@@ -31,13 +31,16 @@
 /* Marks the row as changed: it is gossiped, and evicted last. */
 void fatal_touch(struct fatal *f, struct fatal_row *row, int64_t now_ms);
 
-/* True if the row has no crashes, no pending ones and no record. */
+/* True if the row has no crashes, no pending sends and no store record. */
 bool fatal_empty(const struct fatal_row *row);
 
 /* The row's crash at that endpoint, or NULL. */
 struct fatal_crash *fatal_crash_at(struct fatal_row *row, uint64_t endpoint);
 
-/* Returns false if the row has this crash already, or no room for it. */
+/*
+ * Adds a crash, with less weight if a convicted request explains it. Returns
+ * false if the row has this crash already, or no room for it.
+ */
 bool fatal_add_crash(struct fatal *f, struct fatal_row *row, uint64_t endpoint,
 		     unsigned weight, int64_t at_ms);
 
@@ -57,8 +60,8 @@
 			  int64_t now_ms);
 
 /*
- * Reports one more crash to the callback. `was_convicted`: the
- * request was convicted before it.
+ * Reports one more crash to the callback. `was_convicted`: the request was
+ * convicted before it. `endpoint` 0: the crash was not observed here.
  */
 void fatal_report_crash(struct fatal *f, const struct fatal_row *row,
 			bool was_convicted, uint64_t endpoint);
--- a/lib/request/fatal_rows.c
+++ b/lib/request/fatal_rows.c
@@ -1,4 +1,4 @@
-/* The rows: contents, their crashes and the weights of these. */
+/* The rows: one for each content, with its crashes and their weights. */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -67,8 +67,8 @@
 }
 
 /*
- * Evicts the least recently changed row, convicted ones last: callers can send
- * any number of new contents, which must not evict proven ones.
+ * Evicts the least recently changed row, convicted ones last: clients can send
+ * any number of new contents, which must not evict convicted ones.
  */
 static void evict_row(struct fatal *f)
 {
@@ -103,7 +103,10 @@
 	return row;
 }
 
-/* The list is in the order of changes, except for fatal_explain_others(). */
+/*
+ * Keeps the list in the order of changes, except for fatal_explain_others(),
+ * which sets changed_ms without moving the row.
+ */
 void fatal_touch(struct fatal *f, struct fatal_row *row, int64_t now)
 {
 	row->changed_ms = now;
@@ -149,7 +152,7 @@
 	return false;
 }
 
-/* A free slot, if need be that of the oldest cleared crash; NULL: none. */
+/* Returns a free slot, or else the oldest cleared crash's; NULL: neither. */
 static struct fatal_crash *crash_slot(struct fatal_row *row)
 {
 	unsigned i;
--- a/lib/request/flow.c
+++ b/lib/request/flow.c
@@ -12,7 +12,7 @@
 #define BACKOFF_MS 20
 #define BACKOFF_MAX_MS 1000
 
-/* Times that a run is read again after its connection broke, per attempt. */
+/* Maximum number of times per attempt that a broken run is read again. */
 #define MAX_RESUMES 3
 
 /* ---- Generations ---- */
@@ -183,7 +183,7 @@
 	case FLOW_EV_TOKEN:
 		f->ran = true;
 		f->phase = FLOW_STREAMING;
-		/* Tokens are missing: read the run again. */
+		/* Tokens before it are missing: read the run again. */
 		if (ev->offset > f->tokens)
 			return on_broken(f, now_ms);
 		*fresh = ev->offset == f->tokens;
--- a/lib/request/flow.h
+++ b/lib/request/flow.h
@@ -5,8 +5,8 @@
  * The answer is a sequence of tokens, produced by generations: a generation
  * is one run of an engine that continues from a known prefix. A client that
  * has tokens up to offset k of generation g may be sent more only if these
- * tokens are a prefix of the current answer; otherwise the stream tells it
- * that the answer starts over. This way no answer is spliced from two runs.
+ * tokens are a prefix of the current answer; otherwise its stream says that
+ * the answer starts over. This way no answer is spliced from two runs.
  *
  * Attempts are numbered. Events of an older attempt are dropped.
  */
@@ -89,7 +89,7 @@
 	FLOW_EV_BROKEN,	  /* the connection broke after bytes were sent */
 	FLOW_EV_MISMATCH, /* answered by another model or version */
 	FLOW_EV_GONE,	  /* the endpoint lost the run (resume failed) */
-	FLOW_EV_MOVE,	  /* leave this endpoint now (reclaim) */
+	FLOW_EV_MOVE,	  /* leave this endpoint: its instance is reclaimed */
 };
 
 struct flow_event {
@@ -98,19 +98,26 @@
 	uint32_t offset; /* in tokens */
 };
 
-/* `seed` should differ between entries that may own the same request. */
+/*
+ * `seed` should differ between entries that may own the same request.
+ * `deadline_ms` is a time on the clock of `now_ms` below.
+ */
 void flow_init(struct flow *f, uint64_t seed, uint32_t prompt_tokens,
 	       int64_t deadline_ms);
 
 /*
  * Continues a request whose owner crashed, after flow_init(), with the tokens
- * and generations of its record. `nr_gens` is at most FLOW_MAX_GENS;
- * `endpoint` 0: it has to be routed.
+ * and generations of its record. `nr_gens` is at most FLOW_MAX_GENS; `attempt`
+ * is the number of its last attempt; `endpoint` 0: it has to be routed.
  */
 void flow_adopt(struct flow *f, const struct flow_gen *gens, size_t nr_gens,
 		uint32_t tokens, uint32_t attempt, uint64_t endpoint);
 
-/* An endpoint was chosen. `warm`: it has the request's KV cache. */
+/*
+ * Begins the next attempt, at the endpoint that was chosen. `warm`: it has the
+ * request's KV cache. Does nothing unless the request waits for routing; ends
+ * it if the deadline has passed.
+ */
 struct flow_action flow_routed(struct flow *f, uint64_t endpoint, bool warm,
 			       int64_t now_ms);
 
@@ -129,16 +136,16 @@
 
 /*
  * Starts the answer over (another model version has to be used): the tokens so
- * far are void, and clients that have any will be told.
+ * far are void, and the streams of clients that have any say so.
  */
 void flow_restart(struct flow *f);
 
-/* The current generation's number, for event ids. */
+/* The current generation's number, for event ids; 0: none yet. */
 uint32_t flow_gen(const struct flow *f);
 
 /*
- * True if a client's `offset` tokens ending in generation `gen` are a prefix
- * of the current answer, so that it may be sent the rest.
+ * True if a client's first `offset` tokens, the last of them of generation
+ * `gen`, are a prefix of the current answer, so that it may be sent the rest.
  */
 bool flow_can_continue(const struct flow *f, uint32_t gen, uint32_t offset);
 
--- a/lib/request/rq.h
+++ b/lib/request/rq.h
@@ -1,13 +1,13 @@
 /*
  * rq (request): the state machine of one client attempt. Decides whether the
- * request may be sent again and what the client is told.
+ * request may be sent again and which response the client gets.
  *
  * An attempt reaches one entry only, so "at most once" is decided here and
  * nowhere else. Events go in, the next step comes out; no I/O, no clock.
  *
  * Failures this prevents: a request that must not be repeated runs twice (the
- * client sees a doubled transfer), or a client is told that a request was not
- * run, sends it again, and it had run.
+ * client sees a doubled transfer), or a request that did run is reported as not
+ * run, and the client sends it again.
  */
 #ifndef RQ_H
 #define RQ_H
@@ -17,14 +17,15 @@
 #include "config/cfg.h"
 
 /*
- * Maximum number of refusals after which a request is sent again. Each costs a
- * round trip and counts against the retry budget.
+ * Number of refusals up to which a request is sent again. Each costs a round
+ * trip and counts against the retry budget.
  */
 #define RQ_MAX_REFUSALS 3
 
 /*
- * Maximum number of connection attempts that fail. They cost the endpoints
- * nothing: if several have crashed, the next one is tried until one is alive.
+ * Number of failed connections at which a request is given up. A failed
+ * connection costs the endpoints nothing, so this is more than RQ_MAX_REFUSALS:
+ * a live endpoint is found even if several have crashed.
  */
 #define RQ_MAX_UNREACHED 8
 
@@ -52,6 +53,7 @@
 	bool over;    /* the last step was returned */
 };
 
+/* Begins an attempt. Copies what it needs of `route`. */
 void rq_init(struct rq *r, const struct cfg_route *route);
 
 /*
--- a/scripts/ending_test.sh
+++ b/scripts/ending_test.sh
@@ -24,7 +24,7 @@
 
 at_most() { [ "$1" -le "$2" ]; }
 
-# settled: crashed endpoints have restarted and their old entries are unlisted.
+# settled: crashed endpoints have restarted, and their old keys are deleted.
 listed_endpoints() { platform_test keys | grep -c '^servers/'; }
 settled() { is "$(listed_endpoints)" $((2 * EDGE_SERVICES_EACH)); }
 settle() {
--- a/tests/test_fatal.c
+++ b/tests/test_fatal.c
@@ -322,7 +322,7 @@
 	bool gossip_due[MAX_ENTRIES];
 	struct {
 		uint64_t hash;
-		int64_t up_ms, die_ms; /* 0: alive */
+		int64_t up_ms, die_ms; /* up_ms: end of its last downtime */
 	} at[MAX_ENDPOINTS];
 	struct sim_run runs[MAX_RUNS];
 	struct message *messages;
@@ -330,7 +330,7 @@
 	uint64_t next;
 	int64_t record_ms[NR_POISON]; /* when all read the record; 0: never */
 	unsigned crashes[NR_POISON];  /* endpoints crashed */
-	unsigned after[NR_POISON];    /* by sends after the third was known */
+	unsigned after[NR_POISON]; /* of them, sent after the third was known */
 	int64_t third_ms[NR_POISON];
 	unsigned sent, refused; /* harmless requests */
 } sim;
@@ -384,14 +384,15 @@
  * Chooses the least loaded endpoint for a suspect, a random one otherwise, and
  * avoids endpoints that run a strong suspect. Returns -1 if all are down.
  */
-static int choose_endpoint(int entry, bool apart)
+static int choose_endpoint(int entry, bool isolate)
 {
 	int i, best = -1, cost, least = 0;
 
 	for (i = 0; i < sim.s.endpoints; i++) {
 		if (sim.at[i].up_ms > sim.now)
 			continue;
-		cost = apart ? load_of(i) * 100 : (int)rnd_below(&sim.rnd, 100);
+		cost = isolate ? load_of(i) * 100
+			       : (int)rnd_below(&sim.rnd, 100);
 		cost += runs_strong_suspect(entry, i) * 100000;
 		if (best < 0 || cost < least) {
 			best = i;
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -98,7 +98,7 @@
 }
 
 /*
- * Failure: a client is told "not run" although the request ran. A connection
+ * Failure: a client gets "not run" although the request ran. A connection
  * breaks after bytes were sent, and later the request fails. Only a request of
  * which no byte was sent may be reported as not run.
  */
@@ -136,23 +136,23 @@
 {
 	struct flow f = started();
 	const uint32_t first = flow_gen(&f);
-	struct flow holder;
+	struct flow new_owner;
 	bool fresh;
 
 	receive_tokens(&f, 5);
-	flow_init(&holder, 99, 100, 100000);
-	flow_adopt(&holder, f.gens, f.nr_gens, 3, f.attempt, 1);
+	flow_init(&new_owner, 99, 100, 100000);
+	flow_adopt(&new_owner, f.gens, f.nr_gens, 3, f.attempt, 1);
 	/* While the same run is read again, the client is merely ahead. */
-	CU_ASSERT(flow_can_continue(&holder, first, 5));
-	send_event(&holder, FLOW_EV_GONE, 0, &fresh);
-	flow_routed(&holder, 2, false, 0);
-	CU_ASSERT_NOT_EQUAL(flow_gen(&holder), first);
-	CU_ASSERT(flow_can_continue(&holder, first, 3));
-	CU_ASSERT(!flow_can_continue(&holder, first, 5));
-	CU_ASSERT(!flow_can_continue(&holder, 12345, 2));
-	CU_ASSERT(flow_can_continue(&holder, 12345, 0));
-	flow_restart(&holder);
-	CU_ASSERT(!flow_can_continue(&holder, first, 3));
+	CU_ASSERT(flow_can_continue(&new_owner, first, 5));
+	send_event(&new_owner, FLOW_EV_GONE, 0, &fresh);
+	flow_routed(&new_owner, 2, false, 0);
+	CU_ASSERT_NOT_EQUAL(flow_gen(&new_owner), first);
+	CU_ASSERT(flow_can_continue(&new_owner, first, 3));
+	CU_ASSERT(!flow_can_continue(&new_owner, first, 5));
+	CU_ASSERT(!flow_can_continue(&new_owner, 12345, 2));
+	CU_ASSERT(flow_can_continue(&new_owner, 12345, 0));
+	flow_restart(&new_owner);
+	CU_ASSERT(!flow_can_continue(&new_owner, first, 3));
 }
 
 /* Two entries that both act as the owner begin different generations. */
--- a/tests/test_rq.c
+++ b/tests/test_rq.c
@@ -267,7 +267,7 @@
 }
 
 /*
- * Failure: a client was told "not run, retry", and the request ran. The route
+ * Failure: a client was sent "not run, retry", and the request ran. The route
  * timed out while an endpoint had the request; the response was the same as
  * for a request that was not sent yet.
  */
