--- a/lib/limit/acct.c
+++ b/lib/limit/acct.c
@@ -137,18 +137,18 @@
 }
 
 /*
- * The own demand to compare with that of the other entries: the value last
+ * This entry's demand, to be compared with that of the others: the value last
  * reported to them. With the current value, each entry saw its own part of a
  * burst before that of the others, and the shares of 48 entries added up to
  * four: an account that sent twenty times its limit for a second got 1.45 times
- * what is allowed. For a calm account the current value counts, as an entry
+ * what is allowed. For a calm account the current value is used, as an entry
  * sees only one of its prompts in some seconds.
  *
  * While some entries are partitioned, their last known demand is from before
- * the partition, so an own demand from that time is used as well. When a burst
- * began just before a third of the entries was partitioned for twelve seconds,
- * each side compared its current demand with the other's old one, and the
- * account got 1.3 times what is allowed.
+ * the partition, so this entry's demand of that time is used as well. When a
+ * burst began just before a third of the entries was partitioned for twelve
+ * seconds, each side compared its current demand with the other's old one, and
+ * the account got 1.3 times what is allowed.
  */
 static double own_demand(const struct acct_table *t, const struct acct *a)
 {
@@ -209,9 +209,9 @@
 }
 
 /*
- * Capacity of the buckets over all entries. The slack is part of the burst.
- * Spread over the window instead, as a higher rate, it served no more (mean
- * worth, the score, of both deployments within 0.004, in two runs).
+ * Capacity of the buckets over all entries. The slack is part of the burst: as
+ * a higher rate, spread over the window, it serves no more (the mean score of
+ * both deployments stays within 0.004, in two runs).
  */
 static double burst_of(const struct acct_table *t, const struct acct *a)
 {
--- a/lib/limit/acct.h
+++ b/lib/limit/acct.h
@@ -24,9 +24,9 @@
 #define ACCT_NAME 64
 
 /*
- * Number of past reports of the own demand that are kept. A network partition
- * is noticed after a second; with many entries, the last report but one is from
- * about the moment of the partition.
+ * Number of past reports of this entry's demand that are kept. A network
+ * partition is noticed after a second; with many entries, the last report but
+ * one is from about the moment of the partition.
  */
 #define ACCT_REPORTS 2
 
@@ -38,15 +38,15 @@
 	double demand;		 /* of clients here, exponentially decayed */
 	double demand_elsewhere; /* by the last gossip */
 	/*
-	 * Own demand as reported to the other entries, the latest first. Two
-	 * neighbouring reports are at least gossip_delay_ms apart.
+	 * This entry's demand as reported to the others, the latest first.
+	 * Successive reports are at least gossip_delay_ms apart.
 	 */
 	double reported[ACCT_REPORTS];
 	int64_t reported_ms; /* of the latest */
 	double mean_amount;  /* moving average over requests */
 	unsigned nr_in_mean; /* requests in that average, up to its maximum */
 	double rate, burst;  /* the limit, over all entries */
-	int64_t at_ms;	     /* time of level and demand */
+	int64_t at_ms;	     /* when level and demand were updated */
 	bool is_new;	     /* the bucket was not filled yet */
 };
 
@@ -94,7 +94,7 @@
  */
 void acct_tick(struct acct_table *t, int64_t now_ms);
 
-/* Returns the charge of an admitted request that was not run. */
+/* Puts back the charge of an admitted request that was not run. */
 void acct_refund(struct acct *a, double amount);
 
 /* This entry's share of the account's limit (0 to 1), by current demands. */
--- a/lib/limit/admit.c
+++ b/lib/limit/admit.c
@@ -60,8 +60,8 @@
 }
 
 /*
- * Retries per request, as in the paper the design follows (more only amplifies
- * a fault), and the maximum level.
+ * Retries that each request adds, as in the paper the design follows (more only
+ * amplifies a fault), and the maximum level in retries.
  */
 #define RETRY_RATIO 0.1
 #define RETRY_BURST 10.0
--- a/lib/limit/admit.h
+++ b/lib/limit/admit.h
@@ -58,6 +58,7 @@
 	int http_status;	/* if refused: 429 or 503 */
 };
 
+/* Decides on one request, by the checks above in their order. */
 struct admit_result admit_decide(const struct admit_facts *f);
 
 /* The name of a reason in responses and logs; a static string. */
@@ -71,6 +72,7 @@
 	double level; /* retries available */
 };
 
+/* Starts with a full budget. */
 void retry_budget_init(struct retry_budget *b);
 
 /* To be called for each request. */
--- a/lib/limit/again.c
+++ b/lib/limit/again.c
@@ -3,8 +3,8 @@
 /*
  * Fraction of the slack that may be available at once, fraction of it that is
  * refilled per window, and fraction of the ratio that each request adds. With
- * these, the sum over any window stays below the limit even if one entry more
- * than known is running.
+ * these, the sum over any window stays below the limit even if one entry more is
+ * running than is known.
  */
 #define READY_RATIO 0.45
 #define REFILL_RATIO 0.3
@@ -13,9 +13,9 @@
 /*
  * Fraction of what the requests of a window allow that may be saved up, because
  * a reclaim moves all streams of a zone within a second. A window then has at
- * most this and EARN_RATIO of it, 0.95 in all. With nothing saved, one entry of
- * 84 could retry one request at once, and half of the streams that were to be
- * moved were cut.
+ * most SAVED_RATIO + EARN_RATIO = 0.95 of what its requests allow. With nothing
+ * saved, each of 84 entries could retry only one request at once, and half of
+ * the streams that were to be moved were cut.
  */
 #define SAVED_RATIO 0.3
 
--- a/lib/limit/again.h
+++ b/lib/limit/again.h
@@ -41,7 +41,7 @@
 bool again_spend(struct again *b, const struct again_limits *l,
 		 unsigned entries, int64_t now_ms);
 
-/* Returns a retry that was taken but reached no endpoint. */
+/* Puts back a retry that was taken but reached no endpoint. */
 void again_refund(struct again *b);
 
 #endif
--- a/lib/limit/share.h
+++ b/lib/limit/share.h
@@ -23,9 +23,9 @@
 #define SHARE_FLOOR 0.2
 
 /*
- * Validity of a share, which the entry counts from before its request, and the
- * interval of these requests. The validity is much longer, so that shares
- * outlast a crash of the keeper until the next view has a new one.
+ * Validity of a share, which the entry counts from before it sends its request,
+ * and the interval of these requests. The validity is much longer, so that
+ * shares outlast a crash of the keeper until the next view has a new one.
  */
 #define SHARE_TTL_MS 10000
 #define SHARE_REQUEST_MS 2000
@@ -96,7 +96,7 @@
 bool share_take(struct share *s, double cost, int64_t now_ms,
 		int64_t *retry_ms);
 
-/* Returns tokens that were taken but not used. */
+/* Puts back tokens that were taken but not used. */
 void share_refund(struct share *s, double cost);
 
 /* True if a request to the keeper is due. */
--- a/lib/limit/wfq.h
+++ b/lib/limit/wfq.h
@@ -5,9 +5,9 @@
  * Fair by cost in tokens, as in the paper the design follows:
  * finish = max(flow_finish, virtual_time) + cost / weight, smallest first. A
  * flow is a client account, so that no account gains from more keys or
- * connections. bench compares it with FIFO and strict priority (see
- * docs/design/limits.md). The length is bounded; items past their deadline are
- * returned by wfq_expired() at once, not only once they reach the head.
+ * connections. FIFO and strict priority are alternatives, to compare it with
+ * (see docs/design/limits.md). The length is bounded; items past their deadline
+ * are returned by wfq_expired() at once, not only once they reach the head.
  */
 #ifndef WFQ_H
 #define WFQ_H
@@ -25,8 +25,8 @@
 
 struct wfq_item {
 	struct cds_list_head node;
-	uint64_t flow; /* id of the client account */
-	double weight;
+	uint64_t flow;	    /* id of the client account */
+	double weight;	    /* 0 or less counts as 1 */
 	double cost;	    /* tokens */
 	bool batch;	    /* WFQ_STRICT serves others first */
 	int64_t give_up_ms; /* when it expires */
@@ -36,13 +36,16 @@
 
 struct wfq;
 
-/* `max`: maximum number of items. To be freed with wfq_free(). */
+/*
+ * `max`: maximum number of items. To be freed with wfq_free(), which leaves the
+ * items to their owner.
+ */
 struct wfq *wfq_create(enum wfq_policy policy, size_t max);
 void wfq_free(struct wfq *q);
 
 /*
  * Queues `it`, which stays owned by the caller and must stay valid while it is
- * queued. Returns false if the queue is full.
+ * queued. Returns false if the queue is full or has too many accounts.
  */
 bool wfq_push(struct wfq *q, struct wfq_item *it);
 
--- a/tests/test_acct.c
+++ b/tests/test_acct.c
@@ -11,7 +11,7 @@
 #define MAX_ENTRIES 295
 #define WINDOW_MS 8000
 #define GOSSIP_MS 200
-#define SLACK 190000.0
+#define SLACK 190000.0 /* tokens */
 
 /* All admitted requests, over all entries. */
 struct admissions {
@@ -267,8 +267,8 @@
 }
 
 /*
- * The faulty variant does not count entries of unknown demand, takes what it
- * knows for current, and starts with full buckets.
+ * The faulty variant does not count entries of unknown demand, takes the known
+ * demands for current ones, and starts with full buckets.
  */
 static void variant_that_ignores_unknown_demand_is_detected(void)
 {
