--- a/lib/request/fatal.c
+++ b/lib/request/fatal.c
@@ -152,7 +152,7 @@
 	return b;
 }
 
-/* Weight of a crash that a send met after `ran_ms`, at the current rate. */
+/* Weight of a crash that a send met after `ran_ms`, from the crash rate. */
 static unsigned chance_weight(const struct fatal *f, int64_t ran_ms,
 			      int64_t now)
 {
