--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -144,7 +144,7 @@
 static void log_event(struct edge *en, const char *event)
 {
 	jlog_begin(en->log, JLOG_INFO, event);
-	jlog_int(en->log, "requests", en->callers.nr_answering);
+	jlog_int(en->log, "requests", en->callers.nr_responding);
 	jlog_int(en->log, "connections", en->callers.nr_conns);
 	jlog_end(en->log);
 }
@@ -178,7 +178,7 @@
 	 * ended. Exiting as soon as no request was in flight cut off one that
 	 * was read in the same iteration of the event loop.
 	 */
-	hsc_server_leave(&en->callers);
+	hsc_server_close_idle(&en->callers);
 	if (en->callers.nr_conns && since < latest)
 		return;
 	ev_break(en->loop, EVBREAK_ALL);
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -89,7 +89,7 @@
 	jlog_int(en->log, "held_ms", edge_now(en) - r->arrived_ms);
 	jlog_end(en->log);
 	edge_req_free(r);
-	hsc_cut(c);
+	hsc_disconnect(c);
 }
 
 void edge_step(struct edge_req *r, enum rq_step step, const char *why)
@@ -199,7 +199,7 @@
 	rq_started(&r->rq);
 	buf_add(out, r->answer_head.data, r->answer_head.len);
 	hmsg_put(out, "Transfer-Encoding", "chunked");
-	r->announced_close = hsc_last(r->conn);
+	r->announced_close = hsc_must_close(r->conn);
 	if (r->announced_close)
 		hmsg_put(out, "Connection", "close");
 	hmsg_put_end(out);
@@ -319,7 +319,7 @@
 {
 	struct hsc *c = r->conn;
 	const struct hmsg *m = &c->parse.msg;
-	const bool last = hsc_last(c);
+	const bool last = hsc_must_close(c);
 	const bool no_body = m->method == HTTP_HEAD || r->reply.status == 204 ||
 			     r->reply.status == 304;
 	BUF_AUTO out = BUF_INIT;
@@ -423,9 +423,9 @@
 {
 	static const char *const reasons[] = {
 		[HTC_NOT_SENT] = "endpoint not reached",
-		[HTC_BROKEN] = "endpoint broke off",
-		[HTC_GARBLED] = "endpoint's answer is no HTTP",
-		[HTC_LATE] = "endpoint silent",
+		[HTC_CONNECTION_LOST] = "endpoint broke off",
+		[HTC_MALFORMED] = "endpoint's answer is no HTTP",
+		[HTC_TIMEOUT] = "endpoint silent",
 	};
 	struct edge_req *r = htc_owner(call);
 
@@ -433,7 +433,7 @@
 	if (why == HTC_NOT_SENT)
 		edge_send_unreached(r, reasons[why]);
 	else
-		handle_broken(r, reasons[why], why == HTC_BROKEN);
+		handle_broken(r, reasons[why], why == HTC_CONNECTION_LOST);
 }
 
 const struct htc_vtable edge_answer_vtable = { on_head, on_body, on_end,
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -272,20 +272,20 @@
 }
 
 void edge_fatal_probed(struct edge *en, struct flt_endpoint *e,
-		       enum htc_found found)
+		       enum htc_probe_result found)
 {
 	const int64_t now = edge_now(en);
 
 	switch (found) {
-	case HTC_THERE:
+	case HTC_PROBE_CONNECTED:
 		fatal_lives(&en->fatal, e->hash);
 		break;
-	case HTC_NOBODY:
+	case HTC_PROBE_REFUSED:
 		met_inc(en->m.endpoints_ended);
 		flt_mark_exited(e, now);
 		fatal_ended(&en->fatal, e->hash, now);
 		break;
-	case HTC_SILENT:
+	case HTC_PROBE_UNKNOWN:
 		fatal_unsure(&en->fatal, e->hash);
 		break;
 	}
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -366,7 +366,7 @@
 
 /* The result of a probe. */
 void edge_fatal_probed(struct edge *en, struct flt_endpoint *e,
-		       enum htc_found found);
+		       enum htc_probe_result found);
 
 /* The endpoint was removed for good from the list. */
 void edge_fatal_endpoint_gone(struct edge *en, const struct flt_endpoint *e);
--- a/lib/edge/edge_lookup.c
+++ b/lib/edge/edge_lookup.c
@@ -59,7 +59,7 @@
 	(void)c; /* answers are written at once, so none is in progress */
 }
 
-static void on_malformed(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void on_malformed(struct hsc *c, enum hsc_read_error f, struct buf *out)
 {
 	struct edge *en = c->server->owner;
 
@@ -82,7 +82,7 @@
 
 const struct hsc_vtable edge_lookup_vtable = {
 	.request = on_request,
-	.gone = on_gone,
-	.fault = on_malformed,
+	.disconnected = on_gone,
+	.read_error = on_malformed,
 	.limits = get_limits,
 };
--- a/lib/edge/edge_peer_http.c
+++ b/lib/edge/edge_peer_http.c
@@ -32,7 +32,7 @@
 	en = c->server->owner;
 	/* The call may have been executed: no status would be true. */
 	if (!status && sent) {
-		hsc_cut(c);
+		hsc_disconnect(c);
 		return;
 	}
 	hmsg_put_status(&out, status ? status : 503);
@@ -252,7 +252,7 @@
 	}
 }
 
-static void on_malformed(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void on_malformed(struct hsc *c, enum hsc_read_error f, struct buf *out)
 {
 	(void)c;
 	(void)f;
@@ -275,7 +275,7 @@
 
 const struct hsc_vtable edge_peer_http_vtable = {
 	.request = on_request,
-	.gone = on_peer_gone,
-	.fault = on_malformed,
+	.disconnected = on_peer_gone,
+	.read_error = on_malformed,
 	.limits = get_limits,
 };
--- a/lib/edge/edge_probe.c
+++ b/lib/edge/edge_probe.c
@@ -17,12 +17,12 @@
 	int64_t since_ms; /* when it was started */
 };
 
-static void on_probed(void *arg, enum htc_found found)
+static void on_probed(void *arg, enum htc_probe_result found)
 {
 	static const char *const results[] = {
-		[HTC_THERE] = "there",
-		[HTC_NOBODY] = "ended",
-		[HTC_SILENT] = "silent",
+		[HTC_PROBE_CONNECTED] = "there",
+		[HTC_PROBE_REFUSED] = "ended",
+		[HTC_PROBE_UNKNOWN] = "silent",
 	};
 	struct probe *p = arg;
 	struct edge *en = p->en;
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -90,7 +90,7 @@
 {
 	struct edge *en = r->en;
 	struct hsc *c = r->conn;
-	const bool last = hsc_last(c);
+	const bool last = hsc_must_close(c);
 	BUF_AUTO out = BUF_INIT;
 
 	refund(r);
@@ -489,16 +489,16 @@
 	edge_req_free(r);
 }
 
-static void on_malformed(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void on_malformed(struct hsc *c, enum hsc_read_error f, struct buf *out)
 {
 	static const struct {
 		int status;
 		const char *why;
 	} answers[] = {
-		[HSC_BAD] = { 400, "malformed request" },
-		[HSC_LARGE_HEAD] = { 431, "head too large" },
-		[HSC_LARGE_BODY] = { 413, "body too large" },
-		[HSC_SLOW] = { 408, "request took too long" },
+		[HSC_MALFORMED] = { 400, "malformed request" },
+		[HSC_HEAD_TOO_LARGE] = { 431, "head too large" },
+		[HSC_BODY_TOO_LARGE] = { 413, "body too large" },
+		[HSC_TIMEOUT] = { 408, "request took too long" },
 	};
 	struct edge *en = c->server->owner;
 
@@ -526,7 +526,7 @@
 
 const struct hsc_vtable edge_caller_vtable = {
 	.request = on_request,
-	.gone = on_caller_gone,
-	.fault = on_malformed,
+	.disconnected = on_caller_gone,
+	.read_error = on_malformed,
 	.limits = caller_limits,
 };
--- a/lib/io/hmsg.c
+++ b/lib/io/hmsg.c
@@ -81,7 +81,7 @@
 	return false;
 }
 
-bool hmsg_hop_header(const struct hmsg *m, unsigned i)
+bool hmsg_is_hop_by_hop(const struct hmsg *m, unsigned i)
 {
 	static const char *const hop[] = {
 		"Connection",	    "Keep-Alive",
@@ -147,7 +147,7 @@
 	if (!count_head(p, len) || p->in_body)
 		return p->in_body ? 0 : 1;
 	if (p->in_value || !m->nr_headers) {
-		if (m->nr_headers == HMSG_HEADERS) {
+		if (m->nr_headers == HMSG_MAX_HEADERS) {
 			p->too_large = true;
 			return 1;
 		}
@@ -177,7 +177,7 @@
  * The library as distributions build it lets a space pass in names: "Host :"
  * would be another header to the next reader, and none to us.
  */
-static bool names_are_tokens(const struct hmsg *m)
+static bool header_names_are_tokens(const struct hmsg *m)
 {
 	static const char marks[] = "!#$%&'*+-.^_`|~";
 	const char *c;
@@ -198,7 +198,7 @@
 	struct hmsg *m = &p->msg;
 
 	text_end(m);
-	if (!names_are_tokens(m))
+	if (!header_names_are_tokens(m))
 		return -1;
 	m->method = hp->method;
 	m->status = hp->status_code;
@@ -268,13 +268,13 @@
 	*used = http_parser_execute(&p->parser, &callbacks, data, len);
 	fault = HTTP_PARSER_ERRNO(&p->parser);
 	if (p->too_large || fault == HPE_HEADER_OVERFLOW)
-		return HPARSE_LARGE;
+		return HPARSE_HEAD_TOO_LARGE;
 	/* Nobody here speaks another protocol after a request. */
 	if (p->parser.upgrade)
-		return HPARSE_BAD;
+		return HPARSE_MALFORMED;
 	if (fault == HPE_PAUSED)
 		return HPARSE_STOPPED;
-	return fault == HPE_OK ? HPARSE_MORE : HPARSE_BAD;
+	return fault == HPE_OK ? HPARSE_MORE : HPARSE_MALFORMED;
 }
 
 bool hparse_eof(struct hparse *p)
--- a/lib/io/hmsg.h
+++ b/lib/io/hmsg.h
@@ -15,7 +15,7 @@
 
 #include "base/buf.h"
 
-#define HMSG_HEADERS 96 /* headers of one message; callers send about ten */
+#define HMSG_MAX_HEADERS 96 /* headers of one message; callers send about ten */
 
 struct hmsg_header {
 	uint32_t name, value; /* offsets in `text`, each ended by NUL */
@@ -24,7 +24,7 @@
 struct hmsg {
 	struct buf text;
 	uint32_t url; /* offset in `text`; requests only */
-	struct hmsg_header headers[HMSG_HEADERS];
+	struct hmsg_header headers[HMSG_MAX_HEADERS];
 	unsigned nr_headers;
 	int status; /* responses only */
 	enum http_method method;
@@ -49,7 +49,7 @@
 bool hmsg_has_token(const struct hmsg *m, const char *name, const char *token);
 
 /* True if the header concerns one connection only and is not passed on. */
-bool hmsg_hop_header(const struct hmsg *m, unsigned i);
+bool hmsg_is_hop_by_hop(const struct hmsg *m, unsigned i);
 
 struct hparse;
 
@@ -75,10 +75,10 @@
 };
 
 enum hparse_result {
-	HPARSE_MORE,	/* all bytes taken */
-	HPARSE_STOPPED, /* `stop` was set; the rest was not taken */
-	HPARSE_BAD,	/* not HTTP */
-	HPARSE_LARGE,	/* the head is over the bound */
+	HPARSE_MORE,	       /* all bytes taken */
+	HPARSE_STOPPED,	       /* `stop` was set; the rest was not taken */
+	HPARSE_MALFORMED,      /* not HTTP */
+	HPARSE_HEAD_TOO_LARGE, /* the head is over the bound */
 };
 
 void hparse_init(struct hparse *p, bool requests, size_t max_head_bytes,
--- a/lib/io/hsc.c
+++ b/lib/io/hsc.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 /* Bytes of later requests that are held while one is answered. */
-#define MAX_WAITING 65536
+#define MAX_PIPELINED_BYTES 65536
 
 /*
  * After an answer that ends the connection, so long is waited for the peer
@@ -22,7 +22,7 @@
 #define ACCEPT_BATCH 32
 
 /* A silent caller's machine is noticed after about three seconds. */
-static const struct ioc_patience patience = {
+static const struct ioc_timeouts patience = {
 	.user_timeout_ms = 5000,
 	.keepalive_s = 2,
 };
@@ -31,7 +31,7 @@
 {
 	hparse_free(&c->parse);
 	buf_free(&c->body);
-	buf_free(&c->waiting);
+	buf_free(&c->pipelined);
 	free(c);
 }
 
@@ -40,16 +40,16 @@
 {
 	struct hsc_server *s = c->server;
 
-	assert(!c->dead);
+	assert(!c->free_pending);
 	ev_timer_stop(s->loop, &c->timer);
 	ev_timer_stop(s->loop, &c->resume);
-	if (c->state == HSC_ANSWERING)
-		s->nr_answering--;
+	if (c->state == HSC_RESPONDING)
+		s->nr_responding--;
 	cds_list_del(&c->node);
 	s->nr_conns--;
 	how(c->io);
 	if (c->in_feed)
-		c->dead = true;
+		c->free_pending = true;
 	else
 		release(c);
 }
@@ -65,19 +65,19 @@
 
 static void linger(struct hsc *c)
 {
-	if (c->state == HSC_ANSWERING)
-		c->server->nr_answering--;
+	if (c->state == HSC_RESPONDING)
+		c->server->nr_responding--;
 	c->state = HSC_LINGERING;
 	arm(c, LINGER_MS);
 	if (!ioc_pending(c->io))
 		shutdown(c->io->fd, SHUT_WR);
 }
 
-static void refuse(struct hsc *c, enum hsc_fault f)
+static void refuse(struct hsc *c, enum hsc_read_error f)
 {
 	BUF_AUTO out = BUF_INIT;
 
-	c->server->vt->fault(c, f, &out);
+	c->server->vt->read_error(c, f, &out);
 	ioc_write(c->io, out.data, out.len);
 	linger(c);
 }
@@ -89,8 +89,8 @@
 	(void)loop;
 	(void)revents;
 	if (c->state == HSC_READING)
-		refuse(c, HSC_SLOW);
-	else if (c->state != HSC_ANSWERING)
+		refuse(c, HSC_TIMEOUT);
+	else if (c->state != HSC_RESPONDING)
 		drop(c, ioc_close);
 }
 
@@ -103,7 +103,7 @@
 
 	arm(c, c->limits.body_ms);
 	if (p->msg.has_length && p->msg.length > c->limits.body_bytes) {
-		c->too_large = true;
+		c->body_too_large = true;
 		return -1;
 	}
 	if (hmsg_has_token(&p->msg, "Expect", "100-continue"))
@@ -116,7 +116,7 @@
 	struct hsc *c = p->owner;
 
 	if (c->body.len + len > c->limits.body_bytes) {
-		c->too_large = true;
+		c->body_too_large = true;
 		p->stop = true;
 		return;
 	}
@@ -133,8 +133,8 @@
 static void begin_answer(struct hsc *c)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
-	c->state = HSC_ANSWERING;
-	c->server->nr_answering++;
+	c->state = HSC_RESPONDING;
+	c->server->nr_responding++;
 	if (!c->parse.msg.keep_alive)
 		c->close_after = true;
 	c->server->vt->request(c);
@@ -153,8 +153,8 @@
 		arm(c, c->limits.header_ms);
 	}
 	r = hparse_feed(&c->parse, data, len, &used);
-	if (c->too_large) {
-		refuse(c, HSC_LARGE_BODY);
+	if (c->body_too_large) {
+		refuse(c, HSC_BODY_TOO_LARGE);
 		return;
 	}
 	switch (r) {
@@ -162,14 +162,14 @@
 		break;
 	case HPARSE_STOPPED:
 		if (used < len)
-			buf_add(&c->waiting, data + used, len - used);
+			buf_add(&c->pipelined, data + used, len - used);
 		begin_answer(c);
 		break;
-	case HPARSE_BAD:
-		refuse(c, HSC_BAD);
+	case HPARSE_MALFORMED:
+		refuse(c, HSC_MALFORMED);
 		break;
-	case HPARSE_LARGE:
-		refuse(c, HSC_LARGE_HEAD);
+	case HPARSE_HEAD_TOO_LARGE:
+		refuse(c, HSC_HEAD_TOO_LARGE);
 		break;
 	}
 }
@@ -177,7 +177,7 @@
 static void leave_feed(struct hsc *c)
 {
 	c->in_feed = false;
-	if (c->dead)
+	if (c->free_pending)
 		release(c);
 }
 
@@ -187,10 +187,10 @@
 
 	if (c->state == HSC_LINGERING)
 		return;
-	if (c->state == HSC_ANSWERING) {
-		if (c->waiting.len + len > MAX_WAITING)
+	if (c->state == HSC_RESPONDING) {
+		if (c->pipelined.len + len > MAX_PIPELINED_BYTES)
 			ioc_pause(io, true);
-		buf_add(&c->waiting, data, len);
+		buf_add(&c->pipelined, data, len);
 		return;
 	}
 	c->in_feed = true;
@@ -202,11 +202,11 @@
 static void on_resume(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct hsc *c = t->data;
-	struct buf held = c->waiting;
+	struct buf held = c->pipelined;
 
 	(void)loop;
 	(void)revents;
-	c->waiting = (struct buf)BUF_INIT;
+	c->pipelined = (struct buf)BUF_INIT;
 	ioc_pause(c->io, false);
 	c->in_feed = true;
 	feed(c, held.data, held.len);
@@ -219,8 +219,8 @@
 	struct hsc *c = io->owner;
 
 	(void)how;
-	if (c->state == HSC_ANSWERING)
-		c->server->vt->gone(c);
+	if (c->state == HSC_RESPONDING)
+		c->server->vt->disconnected(c);
 	drop(c, ioc_close);
 }
 
@@ -314,13 +314,13 @@
 	s->fd = -1;
 }
 
-void hsc_server_leave(struct hsc_server *s)
+void hsc_server_close_idle(struct hsc_server *s)
 {
 	struct hsc *c, *next;
 
 	stop_listening(s);
 	cds_list_for_each_entry_safe(c, next, &s->conns, node) {
-		if (c->state == HSC_IDLE && !c->waiting.len)
+		if (c->state == HSC_IDLE && !c->pipelined.len)
 			drop(c, ioc_close);
 	}
 }
@@ -337,14 +337,14 @@
 
 void hsc_server_drain(struct hsc_server *s)
 {
-	s->closing = true;
+	s->draining = true;
 }
 
 /* ---- Answering ---- */
 
-bool hsc_last(const struct hsc *c)
+bool hsc_must_close(const struct hsc *c)
 {
-	return c->close_after || c->server->closing;
+	return c->close_after || c->server->draining;
 }
 
 void hsc_write(struct hsc *c, const void *data, size_t len)
@@ -354,24 +354,24 @@
 
 void hsc_done(struct hsc *c, bool close)
 {
-	assert(c->state == HSC_ANSWERING);
+	assert(c->state == HSC_RESPONDING);
 	buf_free(&c->body);
 	c->request = NULL;
-	if (close || hsc_last(c)) {
+	if (close || hsc_must_close(c)) {
 		linger(c);
 		return;
 	}
-	c->server->nr_answering--;
+	c->server->nr_responding--;
 	c->state = HSC_IDLE;
 	c->server->vt->limits(c->server, &c->limits);
 	arm(c, c->limits.idle_ms);
-	if (c->waiting.len)
+	if (c->pipelined.len)
 		ev_timer_start(c->server->loop, &c->resume);
 	else
 		ioc_pause(c->io, false);
 }
 
-void hsc_cut(struct hsc *c)
+void hsc_disconnect(struct hsc *c)
 {
 	drop(c, ioc_close);
 }
--- a/lib/io/hsc.h
+++ b/lib/io/hsc.h
@@ -25,11 +25,11 @@
 	int idle_ms;   /* between requests */
 };
 
-enum hsc_fault {
-	HSC_BAD, /* not HTTP, or framing with two meanings */
-	HSC_LARGE_HEAD,
-	HSC_LARGE_BODY,
-	HSC_SLOW, /* the head or body took too long */
+enum hsc_read_error {
+	HSC_MALFORMED, /* not HTTP, or framing with two meanings */
+	HSC_HEAD_TOO_LARGE,
+	HSC_BODY_TOO_LARGE,
+	HSC_TIMEOUT, /* the head or body took too long */
 };
 
 struct hsc;
@@ -41,9 +41,10 @@
 	void (*request)(struct hsc *c);
 	/* The caller left while its request was being answered. The
 	 * connection is freed on return. */
-	void (*gone)(struct hsc *c);
+	void (*disconnected)(struct hsc *c);
 	/* Writes the answer to a request that cannot be read. */
-	void (*fault)(struct hsc *c, enum hsc_fault f, struct buf *out);
+	void (*read_error)(struct hsc *c, enum hsc_read_error f,
+			   struct buf *out);
 	/* The limits in force now. */
 	void (*limits)(struct hsc_server *s, struct hsc_limits *out);
 };
@@ -51,7 +52,7 @@
 enum hsc_state {
 	HSC_IDLE,
 	HSC_READING,
-	HSC_ANSWERING,
+	HSC_RESPONDING,
 	HSC_LINGERING, /* answered; waits for the peer to close */
 };
 
@@ -63,9 +64,9 @@
 	int fd;
 	struct cds_list_head conns;
 	unsigned nr_conns;
-	unsigned nr_answering;
+	unsigned nr_responding;
 	unsigned max_conns; /* 0: no bound */
-	bool closing;	    /* connections close after their answer */
+	bool draining;	    /* connections close after their answer */
 };
 
 struct hsc {
@@ -76,13 +77,13 @@
 	struct hsc_limits limits;
 	enum hsc_state state;
 	struct buf body;
-	struct buf waiting; /* bytes after the present request */
+	struct buf pipelined; /* bytes after the present request */
 	ev_timer timer;
 	ev_timer resume; /* reads what is waiting, in the loop's next turn */
 	bool close_after;
-	bool too_large;
+	bool body_too_large;
 	bool in_feed;
-	bool dead;
+	bool free_pending;
 	void *request; /* the owner's, while answering */
 };
 
@@ -104,7 +105,7 @@
  * Takes no further connections, and closes those on which nothing was read
  * since their last answer: a request that crosses that close was not read.
  */
-void hsc_server_leave(struct hsc_server *s);
+void hsc_server_close_idle(struct hsc_server *s);
 
 void hsc_write(struct hsc *c, const void *data, size_t len);
 
@@ -112,9 +113,9 @@
 void hsc_done(struct hsc *c, bool close);
 
 /* Breaks the answer off: the connection ends without its end. */
-void hsc_cut(struct hsc *c);
+void hsc_disconnect(struct hsc *c);
 
 /* True if the answer must say that the connection closes. */
-bool hsc_last(const struct hsc *c);
+bool hsc_must_close(const struct hsc *c);
 
 #endif
--- a/lib/io/htc.c
+++ b/lib/io/htc.c
@@ -8,52 +8,52 @@
  * A peer that states how long it keeps a connection is believed less this
  * margin: its timer runs from an earlier moment than ours.
  */
-#define KEEP_MARGIN_MS 500
+#define KEEP_ALIVE_MARGIN_MS 500
 
 struct htc_conn {
 	struct cds_list_head node; /* in htc_peer.idle */
 	struct htc_peer *peer;
 	struct ioc *io;
 	struct hparse parse;
-	struct htc_call *call; /* NULL while idle */
-	htc_probed probed;     /* of a probe under way; else NULL */
+	struct htc_call *call;	 /* NULL while idle */
+	htc_probe_cb probe_done; /* of a probe under way; else NULL */
 	void *probe_arg;
 	struct buf wire; /* until the connection is established */
 	ev_timer timer;	 /* establishing, or the whole call */
 	int64_t idle_since_ms;
-	int64_t keep_ms;  /* how long the peer keeps it; from its answer */
-	size_t wire_len;  /* bytes of the present call */
-	uint64_t sent_at; /* ioc.sent when the call began */
+	int64_t keep_alive_ms; /* how long the peer keeps it; from its answer */
+	size_t wire_len;       /* bytes of the present call */
+	uint64_t sent_before;  /* ioc.sent when the call began */
 	unsigned served;
-	bool skipping; /* the answer in progress is of an earlier call */
-	bool stale;    /* an answer was skipped: not used again */
-	bool closing;  /* the peer says that it closes */
-	bool listed;   /* in htc_peer.idle */
-	bool parsing;  /* a callback of the parser is on the stack */
-	bool dead;     /* freed as soon as the parser returns */
+	bool skip_response; /* the answer in progress is of an earlier call */
+	bool no_reuse;	    /* an answer was skipped: not used again */
+	bool closing;	    /* the peer says that it closes */
+	bool in_idle_list;  /* in htc_peer.idle */
+	bool in_parser;	    /* a callback of the parser is on the stack */
+	bool free_pending;  /* freed as soon as the parser returns */
 };
 
 struct htc_call {
 	const struct htc_vtable *vt;
 	void *owner;
 	struct htc_conn *conn;
-	int64_t until_ms; /* 0: no bound */
+	int64_t deadline_ms; /* 0: no bound */
 	bool no_body;
-	bool answered; /* the head was given to the owner */
+	bool head_delivered; /* the head was given to the owner */
 };
 
 static void idle_add(struct htc_conn *k)
 {
 	cds_list_add(&k->node, &k->peer->idle);
 	k->peer->nr_idle++;
-	k->listed = true;
+	k->in_idle_list = true;
 }
 
 static void idle_del(struct htc_conn *k)
 {
 	cds_list_del(&k->node);
 	k->peer->nr_idle--;
-	k->listed = false;
+	k->in_idle_list = false;
 }
 
 static void conn_release(struct htc_conn *k)
@@ -67,7 +67,7 @@
 {
 	struct htc_peer *p = k->peer;
 
-	if (k->listed)
+	if (k->in_idle_list)
 		idle_del(k);
 	ev_timer_stop(p->loop, &k->timer);
 	p->nr_open--;
@@ -76,22 +76,22 @@
 	else
 		ioc_close(k->io);
 	k->call = NULL;
-	if (k->parsing)
-		k->dead = true;
+	if (k->in_parser)
+		k->free_pending = true;
 	else
 		conn_release(k);
 }
 
 /* The probe is over; a connection that was not established is freed. */
-static void end_probe(struct htc_conn *k, enum htc_found found)
+static void end_probe(struct htc_conn *k, enum htc_probe_result found)
 {
-	const htc_probed done = k->probed;
+	const htc_probe_cb done = k->probe_done;
 	void *arg = k->probe_arg;
 
-	k->probed = NULL;
+	k->probe_done = NULL;
 	ev_timer_stop(k->peer->loop, &k->timer);
-	if (found == HTC_THERE) {
-		k->keep_ms = k->peer->limits.idle_ms;
+	if (found == HTC_PROBE_CONNECTED) {
+		k->keep_alive_ms = k->peer->limits.idle_ms;
 		k->idle_since_ms = clk_boot_ms(k->peer->clk);
 		idle_add(k);
 	} else {
@@ -105,12 +105,12 @@
 {
 	struct htc_call *c = k->call;
 
-	if (k->probed) {
-		end_probe(k, HTC_SILENT);
+	if (k->probe_done) {
+		end_probe(k, HTC_PROBE_UNKNOWN);
 		return;
 	}
 	if (!c) {
-		k->peer->reaped++;
+		k->peer->idle_closed++;
 		conn_free(k, false);
 		return;
 	}
@@ -135,7 +135,7 @@
 
 static void arm_call(struct htc_conn *k)
 {
-	const int64_t until = k->call->until_ms;
+	const int64_t until = k->call->deadline_ms;
 
 	ev_timer_stop(k->peer->loop, &k->timer);
 	if (until)
@@ -148,7 +148,7 @@
 
 	(void)loop;
 	(void)revents;
-	fail(k, HTC_LATE);
+	fail(k, HTC_TIMEOUT);
 }
 
 /* ---- The answer ---- */
@@ -158,17 +158,17 @@
 	struct htc_conn *k = p->owner;
 	struct htc_call *c = k->call;
 
-	k->skipping = false;
+	k->skip_response = false;
 	if (!c || p->msg.status < 200) {
-		k->skipping = true;
+		k->skip_response = true;
 		return 0;
 	}
 	if (!c->vt->head(c, &p->msg)) {
-		k->skipping = true;
-		k->stale = true;
+		k->skip_response = true;
+		k->no_reuse = true;
 		return 0;
 	}
-	c->answered = true;
+	c->head_delivered = true;
 	return c->no_body ? 1 : 0;
 }
 
@@ -176,7 +176,7 @@
 {
 	struct htc_conn *k = p->owner;
 
-	if (!k->skipping && k->call)
+	if (!k->skip_response && k->call)
 		k->call->vt->body(k->call, data, len);
 }
 
@@ -184,7 +184,7 @@
 {
 	struct htc_conn *k = p->owner;
 
-	if (k->skipping)
+	if (k->skip_response)
 		return;
 	k->closing = !p->msg.keep_alive;
 	p->stop = true;
@@ -203,7 +203,7 @@
 	if (s < 0 || s > 3600)
 		return dflt;
 	if (s * 1000 < dflt)
-		return s * 1000 - KEEP_MARGIN_MS;
+		return s * 1000 - KEEP_ALIVE_MARGIN_MS;
 	return dflt;
 }
 
@@ -212,13 +212,13 @@
 {
 	struct htc_call *c = k->call;
 	const struct htc_peer *p = k->peer;
-	const bool whole_sent = k->io->sent - k->sent_at >= k->wire_len;
-	bool keep = !k->closing && !excess && !k->stale && whole_sent &&
+	const bool whole_sent = k->io->sent - k->sent_before >= k->wire_len;
+	bool keep = !k->closing && !excess && !k->no_reuse && whole_sent &&
 		    !k->io->closed;
 
 	ev_timer_stop(p->loop, &k->timer);
-	k->keep_ms = keep_time(&k->parse.msg, p->limits.idle_ms);
-	if (k->keep_ms <= 0)
+	k->keep_alive_ms = keep_time(&k->parse.msg, p->limits.idle_ms);
+	if (k->keep_alive_ms <= 0)
 		keep = false;
 	c->conn = NULL;
 	k->call = NULL;
@@ -245,13 +245,13 @@
 	 * answer, which would pass for the answer to the next call.
 	 */
 	if (!k->call) {
-		fail(k, HTC_BROKEN);
+		fail(k, HTC_CONNECTION_LOST);
 		return;
 	}
-	k->parsing = true;
+	k->in_parser = true;
 	r = hparse_feed(&k->parse, data, len, &used);
-	k->parsing = false;
-	if (k->dead) {
+	k->in_parser = false;
+	if (k->free_pending) {
 		conn_release(k);
 		return;
 	}
@@ -260,7 +260,7 @@
 	if (r == HPARSE_STOPPED)
 		finish(k, used < len);
 	else
-		fail(k, HTC_GARBLED);
+		fail(k, HTC_MALFORMED);
 }
 
 static void on_ended(struct ioc *io, enum ioc_end how)
@@ -270,11 +270,11 @@
 
 	/* An answer without a length ends with an orderly close only. */
 	if (how == IOC_END_CLOSED && k->call) {
-		k->parsing = true;
-		whole = hparse_eof(&k->parse) && !k->skipping;
-		k->parsing = false;
+		k->in_parser = true;
+		whole = hparse_eof(&k->parse) && !k->skip_response;
+		k->in_parser = false;
 	}
-	if (k->dead) {
+	if (k->free_pending) {
 		conn_release(k);
 		return;
 	}
@@ -283,20 +283,22 @@
 		finish(k, false);
 		return;
 	}
-	if (k->probed) {
-		end_probe(k, how == IOC_END_REFUSED ? HTC_NOBODY : HTC_SILENT);
+	if (k->probe_done) {
+		end_probe(k, how == IOC_END_REFUSED ? HTC_PROBE_REFUSED
+						    : HTC_PROBE_UNKNOWN);
 		return;
 	}
-	fail(k, how == IOC_END_REFUSED || how == IOC_END_NO_WAY ? HTC_NOT_SENT
-								: HTC_BROKEN);
+	fail(k, how == IOC_END_REFUSED || how == IOC_END_UNREACHABLE
+			? HTC_NOT_SENT
+			: HTC_CONNECTION_LOST);
 }
 
 static void on_connected(struct ioc *io)
 {
 	struct htc_conn *k = io->owner;
 
-	if (k->probed) {
-		end_probe(k, HTC_THERE);
+	if (k->probe_done) {
+		end_probe(k, HTC_PROBE_CONNECTED);
 		return;
 	}
 	arm_call(k);
@@ -339,7 +341,7 @@
 {
 	const int64_t idle = now - k->idle_since_ms;
 
-	return idle < k->keep_ms && idle < max_idle_ms;
+	return idle < k->keep_alive_ms && idle < max_idle_ms;
 }
 
 /* The connection used last is the least likely to be closing. */
@@ -359,7 +361,7 @@
 
 static struct htc_conn *open_conn(struct htc_peer *p)
 {
-	const struct ioc_patience patience = {
+	const struct ioc_timeouts patience = {
 		.user_timeout_ms = p->limits.user_timeout_ms,
 		.keepalive_s = p->limits.keepalive_s,
 	};
@@ -380,13 +382,13 @@
 	return k;
 }
 
-bool htc_probe(struct htc_peer *p, htc_probed done, void *arg)
+bool htc_probe(struct htc_peer *p, htc_probe_cb done, void *arg)
 {
 	struct htc_conn *k = open_conn(p);
 
 	if (!k)
 		return false;
-	k->probed = done;
+	k->probe_done = done;
 	k->probe_arg = arg;
 	arm(k, p->limits.connect_ms);
 	return true;
@@ -412,10 +414,10 @@
 	c->owner = owner;
 	c->conn = k;
 	c->no_body = no_body;
-	c->until_ms = total_ms ? clk_boot_ms(p->clk) + total_ms : 0;
+	c->deadline_ms = total_ms ? clk_boot_ms(p->clk) + total_ms : 0;
 	k->call = c;
 	k->wire_len = wire->len;
-	k->sent_at = k->io->sent;
+	k->sent_before = k->io->sent;
 	if (kept) {
 		p->reused++;
 		arm_call(k);
@@ -445,7 +447,7 @@
 
 void htc_extend(struct htc_call *c, int ms)
 {
-	c->until_ms = clk_boot_ms(c->conn->peer->clk) + ms;
+	c->deadline_ms = clk_boot_ms(c->conn->peer->clk) + ms;
 	arm_call(c->conn);
 }
 
@@ -456,5 +458,5 @@
 
 bool htc_sent(const struct htc_call *c)
 {
-	return c->conn->io->sent > c->conn->sent_at;
+	return c->conn->io->sent > c->conn->sent_before;
 }
--- a/lib/io/htc.h
+++ b/lib/io/htc.h
@@ -21,19 +21,19 @@
 struct htc_call;
 
 /* What a probe found. */
-enum htc_found {
-	HTC_THERE,  /* the peer took the connection */
-	HTC_NOBODY, /* its machine answered that nobody listens */
-	HTC_SILENT, /* no answer: nothing is known */
+enum htc_probe_result {
+	HTC_PROBE_CONNECTED, /* the peer took the connection */
+	HTC_PROBE_REFUSED,   /* its machine answered that nobody listens */
+	HTC_PROBE_UNKNOWN,   /* no answer: nothing is known */
 };
 
-typedef void (*htc_probed)(void *arg, enum htc_found found);
+typedef void (*htc_probe_cb)(void *arg, enum htc_probe_result found);
 
 enum htc_failure {
-	HTC_NOT_SENT, /* no connection: nothing reached the peer */
-	HTC_BROKEN,   /* reset or closed before the answer was whole */
-	HTC_GARBLED,  /* the bytes are no HTTP answer */
-	HTC_LATE,     /* the time of the call is over */
+	HTC_NOT_SENT,	     /* no connection: nothing reached the peer */
+	HTC_CONNECTION_LOST, /* reset or closed before the answer was whole */
+	HTC_MALFORMED,	     /* the bytes are no HTTP answer */
+	HTC_TIMEOUT,	     /* the time of the call is over */
 };
 
 struct htc_vtable {
@@ -63,10 +63,10 @@
 	struct htc_limits limits;
 	struct cds_list_head idle; /* of htc_conn, newest first */
 	unsigned nr_idle;
-	unsigned nr_open;     /* with the busy ones */
-	unsigned long opened; /* connections since the start */
-	unsigned long reused; /* calls on kept connections */
-	unsigned long reaped; /* idle connections that the peer ended */
+	unsigned nr_open;	   /* with the busy ones */
+	unsigned long opened;	   /* connections since the start */
+	unsigned long reused;	   /* calls on kept connections */
+	unsigned long idle_closed; /* idle connections that the peer ended */
 };
 
 void htc_peer_init(struct htc_peer *p, struct ev_loop *loop,
@@ -81,7 +81,7 @@
  * call. `done` follows once, never from within. The peer must not be closed
  * meanwhile. False: no socket to be had, and `done` does not follow.
  */
-bool htc_probe(struct htc_peer *p, htc_probed done, void *arg);
+bool htc_probe(struct htc_peer *p, htc_probe_cb done, void *arg);
 
 /*
  * Starts a call. `wire` is the whole request, taken over (left empty).
--- a/lib/io/ioc.c
+++ b/lib/io/ioc.c
@@ -54,7 +54,7 @@
 	ev_io_stop(c->loop, &c->reader);
 	ev_io_stop(c->loop, &c->writer);
 	close(c->fd);
-	if (!c->busy)
+	if (!c->in_callback)
 		release(c);
 }
 
@@ -70,18 +70,18 @@
 /* Calls back, and frees the connection if the owner closed it meanwhile. */
 static bool finish_callback(struct ioc *c)
 {
-	c->busy = false;
+	c->in_callback = false;
 	if (!c->closed)
 		return false;
 	release(c);
 	return true;
 }
 
-static void tell_end(struct ioc *c, enum ioc_end how)
+static void notify_ended(struct ioc *c, enum ioc_end how)
 {
-	c->busy = true;
+	c->in_callback = true;
 	c->vt->ended(c, how);
-	c->busy = false;
+	c->in_callback = false;
 	if (c->closed) {
 		release(c);
 		return;
@@ -101,22 +101,22 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		tell_end(c, n == 0 ? IOC_END_CLOSED : IOC_END_RESET);
+		notify_ended(c, n == 0 ? IOC_END_CLOSED : IOC_END_RESET);
 		return;
 	}
-	c->busy = true;
+	c->in_callback = true;
 	c->vt->data(c, room, (size_t)n);
 	finish_callback(c);
 }
 
 /* False if the connection broke. */
-static bool push_out(struct ioc *c)
+static bool write_pending(struct ioc *c)
 {
 	ssize_t n;
 
-	while (c->out_at < c->out.len) {
-		n = send(c->fd, c->out.data + c->out_at, c->out.len - c->out_at,
-			 MSG_NOSIGNAL);
+	while (c->out_written < c->out.len) {
+		n = send(c->fd, c->out.data + c->out_written,
+			 c->out.len - c->out_written, MSG_NOSIGNAL);
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n < 0 && errno == EAGAIN)
@@ -124,10 +124,10 @@
 		if (n < 0)
 			return false;
 		c->sent += (uint64_t)n;
-		c->out_at += (size_t)n;
+		c->out_written += (size_t)n;
 	}
 	buf_free(&c->out);
-	c->out_at = 0;
+	c->out_written = 0;
 	return true;
 }
 
@@ -154,19 +154,19 @@
 
 	(void)revents;
 	if (fault) {
-		tell_end(c, fault == ECONNREFUSED || fault == ECONNRESET
-				    ? IOC_END_REFUSED
-				    : IOC_END_NO_WAY);
+		notify_ended(c, fault == ECONNREFUSED || fault == ECONNRESET
+					? IOC_END_REFUSED
+					: IOC_END_UNREACHABLE);
 		return;
 	}
 	if (was_connecting && c->vt->connected) {
-		c->busy = true;
+		c->in_callback = true;
 		c->vt->connected(c);
 		if (finish_callback(c))
 			return;
 	}
 	/* A broken connection shows again, with its end, when it is read. */
-	if (!push_out(c)) {
+	if (!write_pending(c)) {
 		ev_io_stop(loop, &c->writer);
 		return;
 	}
@@ -175,12 +175,12 @@
 	ev_io_stop(loop, &c->writer);
 	if (!c->vt->drained)
 		return;
-	c->busy = true;
+	c->in_callback = true;
 	c->vt->drained(c);
 	finish_callback(c);
 }
 
-static void set_patience(int fd, const struct ioc_patience *p)
+static void set_tcp_options(int fd, const struct ioc_timeouts *p)
 {
 	const int on = 1, probes = 2, gap_s = 1;
 
@@ -217,7 +217,7 @@
 }
 
 struct ioc *ioc_connect(struct ev_loop *loop, const struct sockaddr_in *to,
-			const struct ioc_patience *p,
+			const struct ioc_timeouts *p,
 			const struct ioc_vtable *vt, void *owner, struct err *e)
 {
 	const int fd =
@@ -228,7 +228,7 @@
 		err_set(e, ERR_REFUSED, "no socket: %s", strerror(errno));
 		return NULL;
 	}
-	set_patience(fd, p);
+	set_tcp_options(fd, p);
 	if (connect(fd, (const struct sockaddr *)to, sizeof(*to)) &&
 	    errno != EINPROGRESS) {
 		err_set(e, ERR_REFUSED, "connect: %s", strerror(errno));
@@ -242,12 +242,12 @@
 }
 
 struct ioc *ioc_adopt(struct ev_loop *loop, int fd,
-		      const struct ioc_patience *p, const struct ioc_vtable *vt,
+		      const struct ioc_timeouts *p, const struct ioc_vtable *vt,
 		      void *owner)
 {
 	struct ioc *c = create(loop, fd, vt, owner);
 
-	set_patience(fd, p);
+	set_tcp_options(fd, p);
 	ev_io_start(loop, &c->reader);
 	return c;
 }
@@ -259,13 +259,13 @@
 	buf_add(&c->out, data, len);
 	if (c->connecting)
 		return;
-	if (!push_out(c) || c->out.len)
+	if (!write_pending(c) || c->out.len)
 		ev_io_start(c->loop, &c->writer);
 }
 
 size_t ioc_pending(const struct ioc *c)
 {
-	return c->out.len - c->out_at;
+	return c->out.len - c->out_written;
 }
 
 void ioc_pause(struct ioc *c, bool paused)
--- a/lib/io/ioc.h
+++ b/lib/io/ioc.h
@@ -20,10 +20,10 @@
 struct ioc;
 
 enum ioc_end {
-	IOC_END_CLOSED,	 /* the peer closed in order */
-	IOC_END_RESET,	 /* reset, or a time-out of the network */
-	IOC_END_REFUSED, /* nobody listens there: never established */
-	IOC_END_NO_WAY,	 /* never established for another reason */
+	IOC_END_CLOSED,	     /* the peer closed in order */
+	IOC_END_RESET,	     /* reset, or a time-out of the network */
+	IOC_END_REFUSED,     /* nobody listens there: never established */
+	IOC_END_UNREACHABLE, /* never established for another reason */
 };
 
 struct ioc_vtable {
@@ -42,15 +42,15 @@
 	int fd;
 	bool connecting;
 	bool closed;
-	bool busy; /* inside a callback: freed when that returns */
+	bool in_callback; /* inside a callback: freed when that returns */
 	bool paused;
 	uint64_t sent; /* bytes that the kernel has taken */
 	struct buf out;
-	size_t out_at;
+	size_t out_written;
 };
 
 /* The limits of the kernel's patience with a silent peer. */
-struct ioc_patience {
+struct ioc_timeouts {
 	int user_timeout_ms; /* unacknowledged bytes; 0: the default */
 	int keepalive_s;     /* idle time before a probe; 0: none */
 };
@@ -63,13 +63,13 @@
  * call. Returns NULL with ERR_REFUSED if no socket is to be had.
  */
 struct ioc *ioc_connect(struct ev_loop *loop, const struct sockaddr_in *to,
-			const struct ioc_patience *p,
+			const struct ioc_timeouts *p,
 			const struct ioc_vtable *vt, void *owner,
 			struct err *e);
 
 /* Takes over an accepted, non-blocking socket. */
 struct ioc *ioc_adopt(struct ev_loop *loop, int fd,
-		      const struct ioc_patience *p, const struct ioc_vtable *vt,
+		      const struct ioc_timeouts *p, const struct ioc_vtable *vt,
 		      void *owner);
 
 /* Queues bytes; they are copied. No effect on a closed connection. */
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -526,7 +526,7 @@
 	cds_list_for_each_entry_safe(v, next, &w.watchers, node) {
 		cds_list_del(&v->node);
 		v->conn->request = NULL;
-		hsc_cut(v->conn);
+		hsc_disconnect(v->conn);
 		free(v);
 	}
 }
@@ -696,7 +696,7 @@
 {
 	cds_list_del(&s->node);
 	s->conn->request = NULL;
-	hsc_cut(s->conn);
+	hsc_disconnect(s->conn);
 	free(s);
 }
 
@@ -803,7 +803,7 @@
 	free(s);
 }
 
-static void no_fault(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void no_fault(struct hsc *c, enum hsc_read_error f, struct buf *out)
 {
 	(void)c;
 	(void)f;
--- a/tests/standin/proxy.c
+++ b/tests/standin/proxy.c
@@ -121,7 +121,7 @@
 
 static void on_accept(struct ev_loop *loop, ev_io *io, int revents)
 {
-	static const struct ioc_patience patience = { 0, 0 };
+	static const struct ioc_timeouts patience = { 0, 0 };
 	const int fd =
 		accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 	struct pair *p;
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -114,9 +114,9 @@
 
 		hparse_init(&p, true, 16384, &parse_vtable, &got);
 		r = feed(&p, bad[i], strlen(bad[i]), &used);
-		if (r != HPARSE_BAD && r != HPARSE_LARGE)
+		if (r != HPARSE_MALFORMED && r != HPARSE_HEAD_TOO_LARGE)
 			printf("  not refused: %zu\n", i);
-		CU_ASSERT(r == HPARSE_BAD || r == HPARSE_LARGE);
+		CU_ASSERT(r == HPARSE_MALFORMED || r == HPARSE_HEAD_TOO_LARGE);
 		hparse_free(&p);
 		buf_free(&got.body);
 	}
@@ -135,7 +135,7 @@
 		buf_fmt(&text, "X-%d: %0100d\r\n", i, i);
 	buf_str(&text, "\r\n");
 	hparse_init(&p, true, 2000, &parse_vtable, &got);
-	CU_ASSERT_EQUAL(feed(&p, text.data, 100, &used), HPARSE_LARGE);
+	CU_ASSERT_EQUAL(feed(&p, text.data, 100, &used), HPARSE_HEAD_TOO_LARGE);
 	hparse_free(&p);
 	hparse_init(&p, true, 20000, &parse_vtable, &got);
 	CU_ASSERT_EQUAL(feed(&p, text.data, 100, &used), HPARSE_STOPPED);
@@ -155,7 +155,7 @@
 	     "X-Mine: 1\r\nTE: trailers\r\nX-Other: 2\r\n\r\n",
 	     500, &used);
 	for (i = 0; i < p.msg.nr_headers; i++)
-		hops += hmsg_hop_header(&p.msg, i);
+		hops += hmsg_is_hop_by_hop(&p.msg, i);
 	CU_ASSERT_EQUAL(hops, 3);
 	CU_ASSERT(hmsg_has_token(&p.msg, "connection", "x-mine"));
 	CU_ASSERT_FALSE(hmsg_has_token(&p.msg, "connection", "mine"));
@@ -196,7 +196,7 @@
 		return;
 	hsc_write(c, p->raw, strlen(p->raw));
 	if (p->cut)
-		hsc_cut(c);
+		hsc_disconnect(c);
 	else
 		hsc_done(c, false);
 }
@@ -209,7 +209,7 @@
 	gone++;
 }
 
-static void peer_fault(struct hsc *c, enum hsc_fault f, struct buf *out)
+static void peer_fault(struct hsc *c, enum hsc_read_error f, struct buf *out)
 {
 	(void)c;
 	buf_fmt(out,
@@ -422,11 +422,11 @@
 		enum htc_failure why;
 	} cases[] = {
 		{ "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort", true,
-		  HTC_BROKEN },
+		  HTC_CONNECTION_LOST },
 		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc",
-		  true, HTC_BROKEN },
-		{ "\x01\x02 rubbish\r\n\r\n", false, HTC_GARBLED },
-		{ "", true, HTC_BROKEN },
+		  true, HTC_CONNECTION_LOST },
+		{ "\x01\x02 rubbish\r\n\r\n", false, HTC_MALFORMED },
+		{ "", true, HTC_CONNECTION_LOST },
 	};
 	size_t i;
 
@@ -482,7 +482,7 @@
 	CU_ASSERT_EQUAL(c.why, HTC_NOT_SENT);
 }
 
-static void note_found(void *arg, enum htc_found found)
+static void note_found(void *arg, enum htc_probe_result found)
 {
 	*(int *)arg = found;
 }
@@ -500,7 +500,7 @@
 	CU_ASSERT(htc_probe(&to, note_found, &found));
 	CU_ASSERT_EQUAL(found, -1);
 	turn(0.03);
-	CU_ASSERT_EQUAL(found, HTC_THERE);
+	CU_ASSERT_EQUAL(found, HTC_PROBE_CONNECTED);
 	CU_ASSERT_EQUAL(to.nr_idle, 1);
 	start(&to, &c, 0);
 	turn(0.03);
@@ -522,7 +522,7 @@
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	CU_ASSERT(htc_probe(&to, note_found, &found));
 	turn(0.03);
-	CU_ASSERT_EQUAL(found, HTC_NOBODY);
+	CU_ASSERT_EQUAL(found, HTC_PROBE_REFUSED);
 	CU_ASSERT_EQUAL(to.nr_open, 0);
 }
 
@@ -538,7 +538,7 @@
 	start(&to, &c, 50);
 	turn(0.12);
 	CU_ASSERT_EQUAL(c.failures, 1);
-	CU_ASSERT_EQUAL(c.why, HTC_LATE);
+	CU_ASSERT_EQUAL(c.why, HTC_TIMEOUT);
 	CU_ASSERT_EQUAL(gone, 1);
 	hsc_server_close(&p.server);
 }
@@ -572,7 +572,7 @@
 	CU_ASSERT_EQUAL(c.body.len, 7);
 	turn(0.6);
 	CU_ASSERT_EQUAL(c.failures, 1);
-	CU_ASSERT_EQUAL(c.why, HTC_LATE);
+	CU_ASSERT_EQUAL(c.why, HTC_TIMEOUT);
 	buf_free(&c.body);
 	hsc_server_close(&p.server);
 }
@@ -756,10 +756,10 @@
 	send_text(half, "GET /2 HTTP/1.1\r\nHo");
 	turn(0.03);
 	hsc_server_drain(&p.server);
-	hsc_server_leave(&p.server);
+	hsc_server_close_idle(&p.server);
 	CU_ASSERT_EQUAL(p.server.nr_conns, 2);
 	CU_ASSERT_EQUAL(read_all(idle, got, sizeof(got)), 0);
-	CU_ASSERT(hsc_last(p.held));
+	CU_ASSERT(hsc_must_close(p.held));
 	hsc_write(p.held, OK(2, "hi"), strlen(OK(2, "hi")));
 	hsc_done(p.held, false);
 	p.raw = OK(2, "yo");
