--- a/lib/io/hmsg.c
+++ b/lib/io/hmsg.c
@@ -53,7 +53,7 @@
 	return n;
 }
 
-static bool token_in(const char *list, const char *token)
+static bool list_has_token(const char *list, const char *token)
 {
 	const size_t len = strlen(token);
 	const char *at = list;
@@ -75,7 +75,7 @@
 
 	for (i = 0; i < m->nr_headers; i++) {
 		if (!strcasecmp(hmsg_name(m, i), name) &&
-		    token_in(hmsg_value(m, i), token))
+		    list_has_token(hmsg_value(m, i), token))
 			return true;
 	}
 	return false;
@@ -102,13 +102,13 @@
 
 /* ---- Parsing ---- */
 
-static uint32_t text_end(struct hmsg *m)
+static uint32_t end_string(struct hmsg *m)
 {
 	buf_add(&m->text, "", 1);
 	return (uint32_t)m->text.len;
 }
 
-static bool count_head(struct hparse *p, size_t len)
+static bool add_head_bytes(struct hparse *p, size_t len)
 {
 	p->head_bytes += len;
 	if (p->max_head_bytes && p->head_bytes > p->max_head_bytes)
@@ -132,26 +132,29 @@
 {
 	struct hparse *p = hp->data;
 
-	if (!count_head(p, len))
+	if (!add_head_bytes(p, len))
 		return 1;
 	buf_add(&p->msg.text, at, len);
 	return 0;
 }
 
-/* The text so far ends with the URL, or with the last header's value. */
+/*
+ * A name can arrive in pieces. The first piece of a name first terminates the
+ * string before it: the URL, or the value of the previous header.
+ */
 static int on_field(http_parser *hp, const char *at, size_t len)
 {
 	struct hparse *p = hp->data;
 	struct hmsg *m = &p->msg;
 
-	if (!count_head(p, len) || p->in_body)
+	if (!add_head_bytes(p, len) || p->in_body)
 		return p->in_body ? 0 : 1;
 	if (p->in_value || !m->nr_headers) {
 		if (m->nr_headers == HMSG_MAX_HEADERS) {
 			p->too_large = true;
 			return 1;
 		}
-		m->headers[m->nr_headers++].name = text_end(m);
+		m->headers[m->nr_headers++].name = end_string(m);
 		p->in_value = false;
 	}
 	buf_add(&m->text, at, len);
@@ -163,10 +166,10 @@
 	struct hparse *p = hp->data;
 	struct hmsg *m = &p->msg;
 
-	if (!count_head(p, len) || p->in_body)
+	if (!add_head_bytes(p, len) || p->in_body)
 		return p->in_body ? 0 : 1;
 	if (!p->in_value) {
-		m->headers[m->nr_headers - 1].value = text_end(m);
+		m->headers[m->nr_headers - 1].value = end_string(m);
 		p->in_value = true;
 	}
 	buf_add(&m->text, at, len);
@@ -174,18 +177,20 @@
 }
 
 /*
- * The library as distributions build it lets a space pass in names: "Host :"
- * would be another header to the next reader, and none to us.
+ * http-parser as distributions build it (not strict) accepts spaces in header
+ * names. "Host :" would not be found here as Host, but the next server might
+ * read it as such.
  */
 static bool header_names_are_tokens(const struct hmsg *m)
 {
-	static const char marks[] = "!#$%&'*+-.^_`|~";
+	static const char punctuation[] = "!#$%&'*+-.^_`|~";
 	const char *c;
 	unsigned i;
 
 	for (i = 0; i < m->nr_headers; i++) {
 		for (c = hmsg_name(m, i); *c; c++) {
-			if (!isalnum((unsigned char)*c) && !strchr(marks, *c))
+			if (!isalnum((unsigned char)*c) &&
+			    !strchr(punctuation, *c))
 				return false;
 		}
 	}
@@ -197,7 +202,7 @@
 	struct hparse *p = hp->data;
 	struct hmsg *m = &p->msg;
 
-	text_end(m);
+	end_string(m);
 	if (!header_names_are_tokens(m))
 		return -1;
 	m->method = hp->method;
@@ -260,21 +265,21 @@
 enum hparse_result hparse_feed(struct hparse *p, const char *data, size_t len,
 			       size_t *used)
 {
-	enum http_errno fault;
+	enum http_errno error;
 
 	p->stop = false;
 	if (HTTP_PARSER_ERRNO(&p->parser) == HPE_PAUSED)
 		http_parser_pause(&p->parser, 0);
 	*used = http_parser_execute(&p->parser, &callbacks, data, len);
-	fault = HTTP_PARSER_ERRNO(&p->parser);
-	if (p->too_large || fault == HPE_HEADER_OVERFLOW)
+	error = HTTP_PARSER_ERRNO(&p->parser);
+	if (p->too_large || error == HPE_HEADER_OVERFLOW)
 		return HPARSE_HEAD_TOO_LARGE;
-	/* Nobody here speaks another protocol after a request. */
+	/* Protocol upgrades and CONNECT are not supported. */
 	if (p->parser.upgrade)
 		return HPARSE_MALFORMED;
-	if (fault == HPE_PAUSED)
+	if (error == HPE_PAUSED)
 		return HPARSE_STOPPED;
-	return fault == HPE_OK ? HPARSE_MORE : HPARSE_MALFORMED;
+	return error == HPE_OK ? HPARSE_MORE : HPARSE_MALFORMED;
 }
 
 bool hparse_eof(struct hparse *p)
--- a/lib/io/hsc.c
+++ b/lib/io/hsc.c
@@ -9,20 +9,23 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Bytes of later requests that are held while one is answered. */
+/*
+ * Pipelined bytes after which a connection is not read until the response ends.
+ */
 #define MAX_PIPELINED_BYTES 65536
 
 /*
- * After an answer that ends the connection, so long is waited for the peer
- * to close: closing with unread bytes would reset it, and the answer be lost.
+ * Time for the peer to close after the last response, in milliseconds. Closing
+ * a socket that has unread bytes resets the connection, which can discard the
+ * response before the peer reads it.
  */
 #define LINGER_MS 1000
 
-/* Connections taken in one turn of the loop. */
+/* Connections accepted per iteration of the event loop. */
 #define ACCEPT_BATCH 32
 
-/* A silent caller's machine is noticed after about three seconds. */
-static const struct ioc_timeouts patience = {
+/* An unreachable client machine is detected after about three seconds. */
+static const struct ioc_timeouts tcp_timeouts = {
 	.user_timeout_ms = 5000,
 	.keepalive_s = 2,
 };
@@ -35,8 +38,8 @@
 	free(c);
 }
 
-/* Takes the connection out; `how` closes the socket. */
-static void drop(struct hsc *c, void (*how)(struct ioc *))
+/* Removes the connection from the server; `close_io` closes the socket. */
+static void drop(struct hsc *c, void (*close_io)(struct ioc *))
 {
 	struct hsc_server *s = c->server;
 
@@ -47,14 +50,14 @@
 		s->nr_responding--;
 	cds_list_del(&c->node);
 	s->nr_conns--;
-	how(c->io);
+	close_io(c->io);
 	if (c->in_feed)
 		c->free_pending = true;
 	else
 		release(c);
 }
 
-static void arm(struct hsc *c, int ms)
+static void set_timer(struct hsc *c, int ms)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
 	if (ms <= 0)
@@ -68,12 +71,12 @@
 	if (c->state == HSC_RESPONDING)
 		c->server->nr_responding--;
 	c->state = HSC_LINGERING;
-	arm(c, LINGER_MS);
+	set_timer(c, LINGER_MS);
 	if (!ioc_pending(c->io))
 		shutdown(c->io->fd, SHUT_WR);
 }
 
-static void refuse(struct hsc *c, enum hsc_read_error f)
+static void reject(struct hsc *c, enum hsc_read_error f)
 {
 	BUF_AUTO out = BUF_INIT;
 
@@ -89,7 +92,7 @@
 	(void)loop;
 	(void)revents;
 	if (c->state == HSC_READING)
-		refuse(c, HSC_TIMEOUT);
+		reject(c, HSC_TIMEOUT);
 	else if (c->state != HSC_RESPONDING)
 		drop(c, ioc_close);
 }
@@ -99,15 +102,15 @@
 static int on_head(struct hparse *p)
 {
 	struct hsc *c = p->owner;
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char continue_response[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
-	arm(c, c->limits.body_ms);
+	set_timer(c, c->limits.body_ms);
 	if (p->msg.has_length && p->msg.length > c->limits.body_bytes) {
 		c->body_too_large = true;
 		return -1;
 	}
 	if (hmsg_has_token(&p->msg, "Expect", "100-continue"))
-		ioc_write(c->io, go_on, strlen(go_on));
+		ioc_write(c->io, continue_response, strlen(continue_response));
 	return 0;
 }
 
@@ -130,7 +133,7 @@
 
 static const struct hparse_vtable parse_vtable = { on_head, on_body, on_end };
 
-static void begin_answer(struct hsc *c)
+static void begin_response(struct hsc *c)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
 	c->state = HSC_RESPONDING;
@@ -140,7 +143,7 @@
 	c->server->vt->request(c);
 }
 
-/* Parses bytes until a request is whole. */
+/* Parses bytes until a request is complete. */
 static void feed(struct hsc *c, const char *data, size_t len)
 {
 	enum hparse_result r;
@@ -150,11 +153,11 @@
 		c->server->vt->limits(c->server, &c->limits);
 		c->parse.max_head_bytes = c->limits.header_bytes;
 		c->state = HSC_READING;
-		arm(c, c->limits.header_ms);
+		set_timer(c, c->limits.header_ms);
 	}
 	r = hparse_feed(&c->parse, data, len, &used);
 	if (c->body_too_large) {
-		refuse(c, HSC_BODY_TOO_LARGE);
+		reject(c, HSC_BODY_TOO_LARGE);
 		return;
 	}
 	switch (r) {
@@ -163,18 +166,18 @@
 	case HPARSE_STOPPED:
 		if (used < len)
 			buf_add(&c->pipelined, data + used, len - used);
-		begin_answer(c);
+		begin_response(c);
 		break;
 	case HPARSE_MALFORMED:
-		refuse(c, HSC_MALFORMED);
+		reject(c, HSC_MALFORMED);
 		break;
 	case HPARSE_HEAD_TOO_LARGE:
-		refuse(c, HSC_HEAD_TOO_LARGE);
+		reject(c, HSC_HEAD_TOO_LARGE);
 		break;
 	}
 }
 
-static void leave_feed(struct hsc *c)
+static void end_feed(struct hsc *c)
 {
 	c->in_feed = false;
 	if (c->free_pending)
@@ -195,23 +198,23 @@
 	}
 	c->in_feed = true;
 	feed(c, data, len);
-	leave_feed(c);
+	end_feed(c);
 }
 
-/* The next request was sent before the last one was answered. */
+/* Parses the requests that were pipelined during the last response. */
 static void on_resume(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct hsc *c = t->data;
-	struct buf held = c->pipelined;
+	struct buf pending = c->pipelined;
 
 	(void)loop;
 	(void)revents;
 	c->pipelined = (struct buf)BUF_INIT;
 	ioc_pause(c->io, false);
 	c->in_feed = true;
-	feed(c, held.data, held.len);
-	leave_feed(c);
-	buf_free(&held);
+	feed(c, pending.data, pending.len);
+	end_feed(c);
+	buf_free(&pending);
 }
 
 static void on_ended(struct ioc *io, enum ioc_end how)
@@ -246,7 +249,7 @@
 
 	assert(c);
 	c->server = s;
-	c->io = ioc_adopt(s->loop, fd, &patience, &io_vtable, c);
+	c->io = ioc_adopt(s->loop, fd, &tcp_timeouts, &io_vtable, c);
 	ev_timer_init(&c->timer, on_timer, 0, 0);
 	c->timer.data = c;
 	ev_timer_init(&c->resume, on_resume, 0, 0);
@@ -255,7 +258,7 @@
 	s->vt->limits(s, &c->limits);
 	cds_list_add_tail(&c->node, &s->conns);
 	s->nr_conns++;
-	arm(c, c->limits.idle_ms);
+	set_timer(c, c->limits.idle_ms);
 }
 
 static void on_acceptable(struct ev_loop *loop, ev_io *w, int revents)
@@ -340,7 +343,7 @@
 	s->draining = true;
 }
 
-/* ---- Answering ---- */
+/* ---- Responses ---- */
 
 bool hsc_must_close(const struct hsc *c)
 {
@@ -364,7 +367,7 @@
 	c->server->nr_responding--;
 	c->state = HSC_IDLE;
 	c->server->vt->limits(c->server, &c->limits);
-	arm(c, c->limits.idle_ms);
+	set_timer(c, c->limits.idle_ms);
 	if (c->pipelined.len)
 		ev_timer_start(c->server->loop, &c->resume);
 	else
--- a/lib/io/hsc.h
+++ b/lib/io/hsc.h
@@ -1,10 +1,10 @@
 /*
- * hsc: the server's side of HTTP/1.1 connections: one request at a time,
- * read whole, then answered by the owner.
+ * hsc: HTTP server connection. Reads one request at a time, whole, and then
+ * leaves the response to the owner.
  *
- * Bytes that come while a request is being answered wait; the end of the
- * connection is noticed at once, so that work for a caller who left can be
- * stopped.
+ * Pipelined requests are buffered while a response is in progress. The end of
+ * the connection is detected during a response too, so that work for a client
+ * that has disconnected can be stopped.
  */
 #ifndef HSC_H
 #define HSC_H
@@ -18,42 +18,49 @@
 #include "io/ioc.h"
 
 struct hsc_limits {
-	size_t header_bytes;
+	size_t header_bytes; /* URL, header names and values together */
 	size_t body_bytes;
-	int header_ms; /* to send a head, from its first byte */
-	int body_ms;   /* to send a body, from the end of the head */
-	int idle_ms;   /* between requests */
+	int header_ms; /* for a head to arrive, from its first byte */
+	int body_ms;   /* for a body to arrive, from the end of the head */
+	int idle_ms;   /* between requests, and before the first */
 };
 
 enum hsc_read_error {
-	HSC_MALFORMED, /* not HTTP, or framing with two meanings */
+	HSC_MALFORMED, /* not HTTP, or ambiguous framing */
 	HSC_HEAD_TOO_LARGE,
 	HSC_BODY_TOO_LARGE,
-	HSC_TIMEOUT, /* the head or body took too long */
+	HSC_TIMEOUT, /* header_ms or body_ms elapsed */
 };
 
 struct hsc;
 struct hsc_server;
 
 struct hsc_vtable {
-	/* A whole request: c->parse.msg and c->body. Answer it by hsc_write
-	 * and hsc_done, now or later. */
+	/*
+	 * A request is complete: c->parse.msg and c->body. Respond with
+	 * hsc_write and hsc_done, within the call or later.
+	 */
 	void (*request)(struct hsc *c);
-	/* The caller left while its request was being answered. The
-	 * connection is freed on return. */
+	/*
+	 * The client disconnected before its response was complete. The
+	 * connection is freed on return.
+	 */
 	void (*disconnected)(struct hsc *c);
-	/* Writes the answer to a request that cannot be read. */
+	/*
+	 * The request cannot be read. Appends the whole response to `out`; the
+	 * connection is closed after it.
+	 */
 	void (*read_error)(struct hsc *c, enum hsc_read_error f,
 			   struct buf *out);
-	/* The limits in force now. */
+	/* Sets the limits of the next request. */
 	void (*limits)(struct hsc_server *s, struct hsc_limits *out);
 };
 
 enum hsc_state {
-	HSC_IDLE,
-	HSC_READING,
-	HSC_RESPONDING,
-	HSC_LINGERING, /* answered; waits for the peer to close */
+	HSC_IDLE,	/* no byte of the next request was read */
+	HSC_READING,	/* a request is partly read */
+	HSC_RESPONDING, /* from the request callback to hsc_done */
+	HSC_LINGERING,	/* last response sent; waits for the peer to close */
 };
 
 struct hsc_server {
@@ -61,12 +68,12 @@
 	void *owner;
 	struct ev_loop *loop;
 	ev_io acceptor;
-	int fd;
+	int fd; /* listening socket; -1: closed */
 	struct cds_list_head conns;
 	unsigned nr_conns;
-	unsigned nr_responding;
-	unsigned max_conns; /* 0: no bound */
-	bool draining;	    /* connections close after their answer */
+	unsigned nr_responding; /* connections in HSC_RESPONDING */
+	unsigned max_conns;	/* more are closed at once; 0: no limit */
+	bool draining;		/* connections close after their response */
 };
 
 struct hsc {
@@ -77,45 +84,54 @@
 	struct hsc_limits limits;
 	enum hsc_state state;
 	struct buf body;
-	struct buf pipelined; /* bytes after the present request */
+	struct buf pipelined; /* bytes received after the current request */
 	ev_timer timer;
-	ev_timer resume; /* reads what is waiting, in the loop's next turn */
-	bool close_after;
-	bool body_too_large;
-	bool in_feed;
-	bool free_pending;
-	void *request; /* the owner's, while answering */
+	ev_timer resume;  /* parses `pipelined` in the loop's next iteration */
+	bool close_after; /* the client requests a close */
+	bool body_too_large; /* body_bytes exceeded */
+	bool in_feed;	     /* the parser is on the stack */
+	bool free_pending;   /* freed when the parser returns */
+	void *request;	     /* for the owner, until hsc_done */
 };
 
-/* Listens; -1 with an error. */
+/* Listens on `at`. `vt` must outlive the server. Returns -1 with ERR_IO. */
 int hsc_server_open(struct hsc_server *s, struct ev_loop *loop,
 		    const struct sockaddr_in *at, const struct hsc_vtable *vt,
 		    void *owner, struct err *e);
 
-/* Writes the address that it listens on as IP:PORT. */
+/* Writes the listening address as IP:PORT, at most `size` bytes with NUL. */
 void hsc_server_address(const struct hsc_server *s, char *out, size_t size);
 
-/* Stops to listen and closes what is left. */
+/* Stops listening and closes all connections, without callbacks. */
 void hsc_server_close(struct hsc_server *s);
 
-/* Callers are asked to leave: connections close after their next answer. */
+/* Connections close after their next response; new ones are still accepted. */
 void hsc_server_drain(struct hsc_server *s);
 
 /*
- * Takes no further connections, and closes those on which nothing was read
- * since their last answer: a request that crosses that close was not read.
+ * Stops listening and closes the connections on which nothing was read since
+ * their last response. A client whose request arrives during that close can
+ * repeat it safely, since it was not read.
  */
 void hsc_server_close_idle(struct hsc_server *s);
 
+/* Sends the next bytes of the response, from its status line on. */
 void hsc_write(struct hsc *c, const void *data, size_t len);
 
-/* The answer is written. `close`: the connection ends in order after it. */
+/*
+ * Ends the response. With `close`, or if hsc_must_close is true, the connection
+ * is shut down after the last byte, and freed when the peer closes it or one
+ * second later.
+ */
 void hsc_done(struct hsc *c, bool close);
 
-/* Breaks the answer off: the connection ends without its end. */
+/*
+ * Closes the connection at once, so that the client sees a truncated response.
+ * The connection is freed.
+ */
 void hsc_disconnect(struct hsc *c);
 
-/* True if the answer must say that the connection closes. */
+/* True if the response must have "Connection: close". */
 bool hsc_must_close(const struct hsc *c);
 
 #endif
--- a/lib/io/htc.c
+++ b/lib/io/htc.c
@@ -5,8 +5,9 @@
 #include <string.h>
 
 /*
- * A peer that states how long it keeps a connection is believed less this
- * margin: its timer runs from an earlier moment than ours.
+ * Subtracted from the time-out in the peer's Keep-Alive header, in
+ * milliseconds: the peer starts its timer earlier than the response arrives
+ * here.
  */
 #define KEEP_ALIVE_MARGIN_MS 500
 
@@ -16,30 +17,30 @@
 	struct ioc *io;
 	struct hparse parse;
 	struct htc_call *call;	 /* NULL while idle */
-	htc_probe_cb probe_done; /* of a probe under way; else NULL */
+	htc_probe_cb probe_done; /* NULL unless a probe is in progress */
 	void *probe_arg;
-	struct buf wire; /* until the connection is established */
-	ev_timer timer;	 /* establishing, or the whole call */
+	struct buf wire; /* request to send once established */
+	ev_timer timer;	 /* of connect, then of the whole call */
 	int64_t idle_since_ms;
-	int64_t keep_alive_ms; /* how long the peer keeps it; from its answer */
-	size_t wire_len;       /* bytes of the present call */
-	uint64_t sent_before;  /* ioc.sent when the call began */
+	int64_t keep_alive_ms; /* idle time for which the peer keeps it open */
+	size_t wire_len;       /* bytes of the current request */
+	uint64_t sent_before;  /* ioc.sent when the call started */
 	unsigned served;
-	bool skip_response; /* the answer in progress is of an earlier call */
-	bool no_reuse;	    /* an answer was skipped: not used again */
-	bool closing;	    /* the peer says that it closes */
-	bool in_idle_list;  /* in htc_peer.idle */
-	bool in_parser;	    /* a callback of the parser is on the stack */
-	bool free_pending;  /* freed as soon as the parser returns */
+	bool skip_response; /* ignore this response: 1xx, or of an earlier call */
+	bool no_reuse;	    /* a response was skipped: do not reuse */
+	bool closing;	    /* the peer announced that it closes */
+	bool in_idle_list; /* linked in htc_peer.idle */
+	bool in_parser;	   /* the parser is on the stack */
+	bool free_pending; /* freed when the parser returns */
 };
 
 struct htc_call {
 	const struct htc_vtable *vt;
 	void *owner;
 	struct htc_conn *conn;
-	int64_t deadline_ms; /* 0: no bound */
+	int64_t deadline_ms; /* boot clock; 0: none */
 	bool no_body;
-	bool head_delivered; /* the head was given to the owner */
+	bool head_delivered; /* the owner accepted the head */
 };
 
 static void idle_add(struct htc_conn *k)
@@ -82,25 +83,25 @@
 		conn_release(k);
 }
 
-/* The probe is over; a connection that was not established is freed. */
-static void end_probe(struct htc_conn *k, enum htc_probe_result found)
+/* Ends a probe. The connection becomes idle, or is freed if not established. */
+static void end_probe(struct htc_conn *k, enum htc_probe_result result)
 {
 	const htc_probe_cb done = k->probe_done;
 	void *arg = k->probe_arg;
 
 	k->probe_done = NULL;
 	ev_timer_stop(k->peer->loop, &k->timer);
-	if (found == HTC_PROBE_CONNECTED) {
+	if (result == HTC_PROBE_CONNECTED) {
 		k->keep_alive_ms = k->peer->limits.idle_ms;
 		k->idle_since_ms = clk_boot_ms(k->peer->clk);
 		idle_add(k);
 	} else {
 		conn_free(k, true);
 	}
-	done(arg, found);
+	done(arg, result);
 }
 
-/* Ends the call of a connection with a failure; frees both. */
+/* Frees the connection and fails its call or probe, if there is one. */
 static void fail(struct htc_conn *k, enum htc_failure why)
 {
 	struct htc_call *c = k->call;
@@ -117,8 +118,8 @@
 	if (!htc_sent(c))
 		why = HTC_NOT_SENT;
 	/*
-	 * The connection goes first: the owner may drop the last reference
-	 * to the peer, and the peer's connections with it.
+	 * Free the connection first: the callback may free the peer along with
+	 * all its connections.
 	 */
 	conn_free(k, true);
 	c->conn = NULL;
@@ -126,20 +127,20 @@
 	free(c);
 }
 
-static void arm(struct htc_conn *k, int64_t ms)
+static void set_timer(struct htc_conn *k, int64_t ms)
 {
 	ev_timer_stop(k->peer->loop, &k->timer);
 	ev_timer_set(&k->timer, (double)(ms > 0 ? ms : 1) / 1000, 0);
 	ev_timer_start(k->peer->loop, &k->timer);
 }
 
-static void arm_call(struct htc_conn *k)
+static void set_call_timer(struct htc_conn *k)
 {
 	const int64_t until = k->call->deadline_ms;
 
 	ev_timer_stop(k->peer->loop, &k->timer);
 	if (until)
-		arm(k, until - clk_boot_ms(k->peer->clk));
+		set_timer(k, until - clk_boot_ms(k->peer->clk));
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *t, int revents)
@@ -151,7 +152,7 @@
 	fail(k, HTC_TIMEOUT);
 }
 
-/* ---- The answer ---- */
+/* ---- Responses ---- */
 
 static int on_head(struct hparse *p)
 {
@@ -190,8 +191,10 @@
 	p->stop = true;
 }
 
-/* How long the peer keeps the connection, as its Keep-Alive header says. */
-static int64_t keep_time(const struct hmsg *m, int64_t dflt)
+/*
+ * Idle time for which the connection can be reused, by the Keep-Alive header.
+ */
+static int64_t keep_alive_time_ms(const struct hmsg *m, int64_t dflt)
 {
 	const char *v = hmsg_find(m, "Keep-Alive");
 	const char *at = v ? strstr(v, "timeout=") : NULL;
@@ -207,17 +210,20 @@
 	return dflt;
 }
 
-/* The answer is whole: the connection is kept if it is beyond doubt. */
+/*
+ * Ends a call whose response is complete. The connection is reused only if its
+ * next bytes are certain to belong to the next response.
+ */
 static void finish(struct htc_conn *k, bool excess)
 {
 	struct htc_call *c = k->call;
 	const struct htc_peer *p = k->peer;
-	const bool whole_sent = k->io->sent - k->sent_before >= k->wire_len;
-	bool keep = !k->closing && !excess && !k->no_reuse && whole_sent &&
+	const bool request_sent = k->io->sent - k->sent_before >= k->wire_len;
+	bool keep = !k->closing && !excess && !k->no_reuse && request_sent &&
 		    !k->io->closed;
 
 	ev_timer_stop(p->loop, &k->timer);
-	k->keep_alive_ms = keep_time(&k->parse.msg, p->limits.idle_ms);
+	k->keep_alive_ms = keep_alive_time_ms(&k->parse.msg, p->limits.idle_ms);
 	if (k->keep_alive_ms <= 0)
 		keep = false;
 	c->conn = NULL;
@@ -241,8 +247,8 @@
 	size_t used;
 
 	/*
-	 * Bytes on an idle connection belong to no call: a late second
-	 * answer, which would pass for the answer to the next call.
+	 * Bytes on an idle connection are a late second response, which would
+	 * be taken for the response to the next call.
 	 */
 	if (!k->call) {
 		fail(k, HTC_CONNECTION_LOST);
@@ -266,19 +272,19 @@
 static void on_ended(struct ioc *io, enum ioc_end how)
 {
 	struct htc_conn *k = io->owner;
-	bool whole = false;
+	bool complete = false;
 
-	/* An answer without a length ends with an orderly close only. */
+	/* Only an orderly close ends a response without framing. */
 	if (how == IOC_END_CLOSED && k->call) {
 		k->in_parser = true;
-		whole = hparse_eof(&k->parse) && !k->skip_response;
+		complete = hparse_eof(&k->parse) && !k->skip_response;
 		k->in_parser = false;
 	}
 	if (k->free_pending) {
 		conn_release(k);
 		return;
 	}
-	if (whole) {
+	if (complete) {
 		k->closing = true;
 		finish(k, false);
 		return;
@@ -301,7 +307,7 @@
 		end_probe(k, HTC_PROBE_CONNECTED);
 		return;
 	}
-	arm_call(k);
+	set_call_timer(k);
 	ioc_write(io, k->wire.data, k->wire.len);
 	buf_free(&k->wire);
 }
@@ -337,15 +343,16 @@
 	}
 }
 
-static bool fit(const struct htc_conn *k, int64_t now, int64_t max_idle_ms)
+static bool is_reusable(const struct htc_conn *k, int64_t now,
+			int64_t max_idle_ms)
 {
 	const int64_t idle = now - k->idle_since_ms;
 
 	return idle < k->keep_alive_ms && idle < max_idle_ms;
 }
 
-/* The connection used last is the least likely to be closing. */
-static struct htc_conn *take_idle(struct htc_peer *p, int fresh_ms)
+/* Takes the connection used last: the peer is least likely to be closing it. */
+static struct htc_conn *take_idle(struct htc_peer *p, int max_idle_ms)
 {
 	const int64_t now = clk_boot_ms(p->clk);
 	struct htc_conn *k;
@@ -353,7 +360,7 @@
 	if (cds_list_empty(&p->idle))
 		return NULL;
 	k = cds_list_first_entry(&p->idle, struct htc_conn, node);
-	if (!fit(k, now, fresh_ms ? fresh_ms : INT64_MAX))
+	if (!is_reusable(k, now, max_idle_ms ? max_idle_ms : INT64_MAX))
 		return NULL;
 	idle_del(k);
 	return k;
@@ -361,7 +368,7 @@
 
 static struct htc_conn *open_conn(struct htc_peer *p)
 {
-	const struct ioc_timeouts patience = {
+	const struct ioc_timeouts timeouts = {
 		.user_timeout_ms = p->limits.user_timeout_ms,
 		.keepalive_s = p->limits.keepalive_s,
 	};
@@ -369,7 +376,7 @@
 
 	assert(k);
 	k->peer = p;
-	k->io = ioc_connect(p->loop, &p->addr, &patience, &io_vtable, k, NULL);
+	k->io = ioc_connect(p->loop, &p->addr, &timeouts, &io_vtable, k, NULL);
 	if (!k->io) {
 		free(k);
 		return NULL;
@@ -390,16 +397,16 @@
 		return false;
 	k->probe_done = done;
 	k->probe_arg = arg;
-	arm(k, p->limits.connect_ms);
+	set_timer(k, p->limits.connect_ms);
 	return true;
 }
 
-struct htc_call *htc_start(struct htc_peer *p, struct buf *wire, int fresh_ms,
-			   bool no_body, int total_ms,
+struct htc_call *htc_start(struct htc_peer *p, struct buf *wire,
+			   int max_idle_ms, bool no_body, int total_ms,
 			   const struct htc_vtable *vt, void *owner)
 {
-	struct htc_conn *k = take_idle(p, fresh_ms);
-	const bool kept = k != NULL;
+	struct htc_conn *k = take_idle(p, max_idle_ms);
+	const bool reused = k != NULL;
 	struct htc_call *c;
 
 	if (!k)
@@ -418,18 +425,18 @@
 	k->call = c;
 	k->wire_len = wire->len;
 	k->sent_before = k->io->sent;
-	if (kept) {
+	if (reused) {
 		p->reused++;
-		arm_call(k);
+		set_call_timer(k);
 		ioc_write(k->io, wire->data, wire->len);
 		buf_free(wire);
 		return c;
 	}
 	k->wire = *wire;
 	*wire = (struct buf)BUF_INIT;
-	arm(k, total_ms && total_ms < p->limits.connect_ms
-		       ? total_ms
-		       : p->limits.connect_ms);
+	set_timer(k, total_ms && total_ms < p->limits.connect_ms
+			     ? total_ms
+			     : p->limits.connect_ms);
 	return c;
 }
 
@@ -438,8 +445,8 @@
 	struct htc_conn *k = c->conn;
 
 	/*
-	 * A reset, not an orderly close: the peer's machine learns at once
-	 * that nobody waits, also when bytes of its answer are unread.
+	 * Reset instead of an orderly close, so that the peer detects at once
+	 * that the call is cancelled, whether or not bytes are unread.
 	 */
 	conn_free(k, true);
 	free(c);
@@ -448,7 +455,7 @@
 void htc_extend(struct htc_call *c, int ms)
 {
 	c->deadline_ms = clk_boot_ms(c->conn->peer->clk) + ms;
-	arm_call(c->conn);
+	set_call_timer(c->conn);
 }
 
 void *htc_owner(const struct htc_call *c)
--- a/lib/io/htc.h
+++ b/lib/io/htc.h
@@ -1,10 +1,10 @@
 /*
- * htc: HTTP/1.1 calls over kept connections.
+ * htc: HTTP client. HTTP/1.1 calls over persistent connections.
  *
- * One `htc_peer` stands for one address and holds its idle connections. A
- * call takes an idle connection or opens a new one, sends its bytes and gives
- * the answer back piece by piece. A connection is used again only after an
- * answer that was whole, in order and without a byte too many.
+ * An `htc_peer` is a pool of the idle connections to one address. A call takes
+ * an idle connection or opens a new one, sends its request and passes the
+ * response to its owner piece by piece. A connection is reused only after a
+ * response that was complete, well-formed and not followed by excess bytes.
  */
 #ifndef HTC_H
 #define HTC_H
@@ -20,40 +20,41 @@
 
 struct htc_call;
 
-/* What a probe found. */
+/* Result of htc_probe. */
 enum htc_probe_result {
-	HTC_PROBE_CONNECTED, /* the peer took the connection */
-	HTC_PROBE_REFUSED,   /* its machine answered that nobody listens */
-	HTC_PROBE_UNKNOWN,   /* no answer: nothing is known */
+	HTC_PROBE_CONNECTED, /* the connection was established */
+	HTC_PROBE_REFUSED,   /* the machine is up, but no process listens */
+	HTC_PROBE_UNKNOWN,   /* time-out or other error: state unknown */
 };
 
 typedef void (*htc_probe_cb)(void *arg, enum htc_probe_result found);
 
 enum htc_failure {
-	HTC_NOT_SENT,	     /* no connection: nothing reached the peer */
-	HTC_CONNECTION_LOST, /* reset or closed before the answer was whole */
-	HTC_MALFORMED,	     /* the bytes are no HTTP answer */
-	HTC_TIMEOUT,	     /* the time of the call is over */
+	HTC_NOT_SENT,	     /* no byte was sent: safe to repeat */
+	HTC_CONNECTION_LOST, /* lost before the response was complete */
+	HTC_MALFORMED,	     /* the response is not HTTP */
+	HTC_TIMEOUT,	     /* total_ms, or the bound of htc_extend, elapsed */
 };
 
 struct htc_vtable {
 	/*
-	 * The head of an answer. Return false to pass over this answer and
-	 * wait for the next one: it belongs to an earlier call.
+	 * The head of a response. Return false to skip this response and wait
+	 * for the next one, if it belongs to an earlier call.
 	 */
 	bool (*head)(struct htc_call *call, const struct hmsg *m);
+	/* The next piece of the body; `data` is valid during the call only. */
 	void (*body)(struct htc_call *call, const char *data, size_t len);
-	/* The answer is whole; the call is freed on return. */
+	/* The response is complete; the call is freed on return. */
 	void (*end)(struct htc_call *call);
-	/* No whole answer comes; the call is freed on return. */
+	/* The call failed, possibly after head and body; freed on return. */
 	void (*failed)(struct htc_call *call, enum htc_failure why);
 };
 
 struct htc_limits {
 	int connect_ms;	     /* to establish a connection */
-	int user_timeout_ms; /* bytes that the peer's machine does not ack */
-	int keepalive_s;     /* before probing a silent connection */
-	int idle_ms;	     /* an idle connection is used for so long */
+	int user_timeout_ms; /* TCP_USER_TIMEOUT: unacknowledged bytes */
+	int keepalive_s;     /* idle time before TCP keep-alive probes */
+	int idle_ms;	     /* idle time after which it is not reused */
 };
 
 struct htc_peer {
@@ -61,54 +62,59 @@
 	const struct clk *clk;
 	struct sockaddr_in addr;
 	struct htc_limits limits;
-	struct cds_list_head idle; /* of htc_conn, newest first */
+	struct cds_list_head idle; /* of htc_conn, most recently used first */
 	unsigned nr_idle;
-	unsigned nr_open;	   /* with the busy ones */
-	unsigned long opened;	   /* connections since the start */
-	unsigned long reused;	   /* calls on kept connections */
-	unsigned long idle_closed; /* idle connections that the peer ended */
+	unsigned nr_open;	   /* idle and in use */
+	unsigned long opened;	   /* connections opened in all */
+	unsigned long reused;	   /* calls on idle connections */
+	unsigned long idle_closed; /* idle connections that ended */
 };
 
+/* `clk` and `loop` must outlive the peer; `addr` and `limits` are copied. */
 void htc_peer_init(struct htc_peer *p, struct ev_loop *loop,
 		   const struct clk *clk, const struct sockaddr_in *addr,
 		   const struct htc_limits *limits);
 
-/* Closes idle connections. No call may be under way. */
+/* Closes the idle connections. There must be no call or probe in progress. */
 void htc_peer_close(struct htc_peer *p);
 
 /*
- * Opens a connection to see whether the peer is there; it is kept for a later
- * call. `done` follows once, never from within. The peer must not be closed
- * meanwhile. False: no socket to be had, and `done` does not follow.
+ * Opens a connection to test whether the peer accepts it; if so, it becomes an
+ * idle connection. `done` is called once, never from within this call. The peer
+ * must not be closed before that. Returns false, and does not call `done`, if
+ * no socket can be opened.
  */
 bool htc_probe(struct htc_peer *p, htc_probe_cb done, void *arg);
 
 /*
- * Starts a call. `wire` is the whole request, taken over (left empty).
- * `fresh_ms`: use kept connections only if idle for less (0: the default).
- * `no_body`: the answer has none, whatever it says (HEAD). `total_ms`: bound
- * on the whole call (0: none). No callback comes from within. NULL: no
- * socket to be had, nothing sent.
+ * Starts a call. No callback is called from within.
+ * `wire`: the whole request as sent; ownership passes and it is left empty.
+ * `max_idle_ms`: reuse only a connection that was idle for less (0: the limit
+ * of the peer).
+ * `no_body`: the response has no body whatever its headers say (HEAD).
+ * `total_ms`: time-out of the whole call (0: none).
+ * Returns NULL if no socket can be opened; nothing was sent then.
  */
-struct htc_call *htc_start(struct htc_peer *p, struct buf *wire, int fresh_ms,
-			   bool no_body, int total_ms,
+struct htc_call *htc_start(struct htc_peer *p, struct buf *wire,
+			   int max_idle_ms, bool no_body, int total_ms,
 			   const struct htc_vtable *vt, void *owner);
 
 /*
- * Gives up: the connection is closed, which tells the peer to stop work. No
- * callback follows.
+ * Cancels and frees the call. Its connection is reset, so that the peer can
+ * stop its work. No callback follows.
  */
 void htc_cancel(struct htc_call *c);
 
 /*
- * The call is bounded anew: it may last `ms` from now. For calls whose bound
- * is on the peer's silence, not on how long a large answer takes.
+ * Replaces the time-out of the call: `ms` from now. For calls that should time
+ * out when the peer is silent, not when a large response takes long.
  */
 void htc_extend(struct htc_call *c, int ms);
 
+/* The `owner` given to htc_start. */
 void *htc_owner(const struct htc_call *c);
 
-/* True once a byte of the request may have reached the peer. */
+/* True once a byte of the request was sent: the peer may have received it. */
 bool htc_sent(const struct htc_call *c);
 
 #endif
--- a/lib/io/ioc.c
+++ b/lib/io/ioc.c
@@ -10,12 +10,16 @@
 #include <unistd.h>
 
 /*
- * Bytes read from one connection in one turn of the loop, so that a fast
- * peer does not hold up the others. One stream event is below 300 bytes.
+ * Bytes read from a connection per iteration of the event loop. Bounded, so
+ * that a fast peer does not delay the other connections. One event of a stream
+ * has less than 300 bytes.
  */
 #define READ_BYTES 32768
 
-/* Callers whose opening packet finds a full queue wait for seconds. */
+/*
+ * Connections that wait for accept. If the queue is full, SYN packets are
+ * dropped and the client waits seconds until it retransmits.
+ */
 #define LISTEN_BACKLOG 1024
 
 int ioc_address(const char *text, struct sockaddr_in *out, struct err *e)
@@ -67,7 +71,9 @@
 	ioc_close(c);
 }
 
-/* Calls back, and frees the connection if the owner closed it meanwhile. */
+/*
+ * Returns true if the owner closed the connection in the callback: now freed.
+ */
 static bool finish_callback(struct ioc *c)
 {
 	c->in_callback = false;
@@ -92,12 +98,12 @@
 static void on_readable(struct ev_loop *loop, ev_io *w, int revents)
 {
 	struct ioc *c = w->data;
-	static char room[READ_BYTES];
+	static char chunk[READ_BYTES];
 	ssize_t n;
 
 	(void)loop;
 	(void)revents;
-	n = recv(c->fd, room, sizeof(room), 0);
+	n = recv(c->fd, chunk, sizeof(chunk), 0);
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
@@ -105,11 +111,11 @@
 		return;
 	}
 	c->in_callback = true;
-	c->vt->data(c, room, (size_t)n);
+	c->vt->data(c, chunk, (size_t)n);
 	finish_callback(c);
 }
 
-/* False if the connection broke. */
+/* Writes queued bytes until the socket is full. False: the connection broke. */
 static bool write_pending(struct ioc *c)
 {
 	ssize_t n;
@@ -131,16 +137,16 @@
 	return true;
 }
 
-/* 0, or why the connection could not be established. */
+/* Returns 0, or the errno with which connect failed. */
 static int finish_connect(struct ioc *c)
 {
-	int fault = 0;
-	socklen_t len = sizeof(fault);
+	int error = 0;
+	socklen_t len = sizeof(error);
 
-	if (getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &fault, &len))
-		fault = errno;
-	if (fault)
-		return fault;
+	if (getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &error, &len))
+		error = errno;
+	if (error)
+		return error;
 	c->connecting = false;
 	ev_io_start(c->loop, &c->reader);
 	return 0;
@@ -150,11 +156,11 @@
 {
 	struct ioc *c = w->data;
 	const bool was_connecting = c->connecting;
-	const int fault = was_connecting ? finish_connect(c) : 0;
+	const int error = was_connecting ? finish_connect(c) : 0;
 
 	(void)revents;
-	if (fault) {
-		notify_ended(c, fault == ECONNREFUSED || fault == ECONNRESET
+	if (error) {
+		notify_ended(c, error == ECONNREFUSED || error == ECONNRESET
 					? IOC_END_REFUSED
 					: IOC_END_UNREACHABLE);
 		return;
@@ -165,7 +171,7 @@
 		if (finish_callback(c))
 			return;
 	}
-	/* A broken connection shows again, with its end, when it is read. */
+	/* After a write error, the next read reports the end. */
 	if (!write_pending(c)) {
 		ev_io_stop(loop, &c->writer);
 		return;
@@ -180,22 +186,23 @@
 	finish_callback(c);
 }
 
-static void set_tcp_options(int fd, const struct ioc_timeouts *p)
+static void set_tcp_options(int fd, const struct ioc_timeouts *t)
 {
-	const int on = 1, probes = 2, gap_s = 1;
+	const int on = 1, probes = 2, interval_s = 1;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	if (!p)
+	if (!t)
 		return;
-	if (p->user_timeout_ms)
+	if (t->user_timeout_ms)
 		setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-			   &p->user_timeout_ms, sizeof(p->user_timeout_ms));
-	if (!p->keepalive_s)
+			   &t->user_timeout_ms, sizeof(t->user_timeout_ms));
+	if (!t->keepalive_s)
 		return;
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &p->keepalive_s,
-		   sizeof(p->keepalive_s));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &gap_s, sizeof(gap_s));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &t->keepalive_s,
+		   sizeof(t->keepalive_s));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s,
+		   sizeof(interval_s));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
 }
 
@@ -217,7 +224,7 @@
 }
 
 struct ioc *ioc_connect(struct ev_loop *loop, const struct sockaddr_in *to,
-			const struct ioc_timeouts *p,
+			const struct ioc_timeouts *t,
 			const struct ioc_vtable *vt, void *owner, struct err *e)
 {
 	const int fd =
@@ -228,7 +235,7 @@
 		err_set(e, ERR_REFUSED, "no socket: %s", strerror(errno));
 		return NULL;
 	}
-	set_tcp_options(fd, p);
+	set_tcp_options(fd, t);
 	if (connect(fd, (const struct sockaddr *)to, sizeof(*to)) &&
 	    errno != EINPROGRESS) {
 		err_set(e, ERR_REFUSED, "connect: %s", strerror(errno));
@@ -242,12 +249,12 @@
 }
 
 struct ioc *ioc_adopt(struct ev_loop *loop, int fd,
-		      const struct ioc_timeouts *p, const struct ioc_vtable *vt,
+		      const struct ioc_timeouts *t, const struct ioc_vtable *vt,
 		      void *owner)
 {
 	struct ioc *c = create(loop, fd, vt, owner);
 
-	set_tcp_options(fd, p);
+	set_tcp_options(fd, t);
 	ev_io_start(loop, &c->reader);
 	return c;
 }
--- a/lib/io/ioc.h
+++ b/lib/io/ioc.h
@@ -1,9 +1,9 @@
 /*
- * ioc: a TCP connection on the event loop, without blocking.
+ * ioc: I/O connection. A non-blocking TCP connection on the event loop.
  *
- * Bytes that cannot be written at once wait in a buffer of the connection.
- * The owner learns of bytes and of the end through a vtable; it may close the
- * connection from within any of these calls.
+ * Bytes that the socket does not accept at once are queued in the connection.
+ * The owner gets events through a vtable and may close the connection from
+ * within any of its callbacks.
  */
 #ifndef IOC_H
 #define IOC_H
@@ -20,16 +20,20 @@
 struct ioc;
 
 enum ioc_end {
-	IOC_END_CLOSED,	     /* the peer closed in order */
-	IOC_END_RESET,	     /* reset, or a time-out of the network */
-	IOC_END_REFUSED,     /* nobody listens there: never established */
+	IOC_END_CLOSED,	     /* the peer closed it (FIN) */
+	IOC_END_RESET,	     /* reset, or a TCP time-out */
+	IOC_END_REFUSED,     /* never established: no process listens there */
 	IOC_END_UNREACHABLE, /* never established for another reason */
 };
 
 struct ioc_vtable {
+	/* A connection from ioc_connect is established. May be NULL. */
 	void (*connected)(struct ioc *c);
+	/* Bytes were received; `data` is valid during the call only. */
 	void (*data)(struct ioc *c, const char *data, size_t len);
-	void (*drained)(struct ioc *c); /* all that was queued is written */
+	/* All queued bytes are written to the socket. May be NULL. */
+	void (*drained)(struct ioc *c);
+	/* The connection ended. It is closed and freed on return. */
 	void (*ended)(struct ioc *c, enum ioc_end how);
 };
 
@@ -41,53 +45,65 @@
 	ev_io writer;
 	int fd;
 	bool connecting;
-	bool closed;
-	bool in_callback; /* inside a callback: freed when that returns */
-	bool paused;
-	uint64_t sent; /* bytes that the kernel has taken */
-	struct buf out;
-	size_t out_written;
+	bool closed;	    /* by ioc_close */
+	bool in_callback;   /* ioc_close leaves the freeing to the caller */
+	bool paused;	    /* not reading */
+	uint64_t sent;	    /* bytes that the kernel has accepted */
+	struct buf out;	    /* bytes to write */
+	size_t out_written; /* bytes of `out` that are written */
 };
 
-/* The limits of the kernel's patience with a silent peer. */
+/* When the kernel gives up a connection whose peer is silent. */
 struct ioc_timeouts {
-	int user_timeout_ms; /* unacknowledged bytes; 0: the default */
-	int keepalive_s;     /* idle time before a probe; 0: none */
+	int user_timeout_ms; /* TCP_USER_TIMEOUT; 0: the system's default */
+	int keepalive_s;     /* idle time before keep-alive probes; 0: none */
 };
 
-/* Parses "IP:PORT". Returns 0, or -1 with ERR_INVALID. */
+/* Parses "IP:PORT" (IPv4). Returns 0, or -1 with ERR_INVALID. */
 int ioc_address(const char *text, struct sockaddr_in *out, struct err *e);
 
 /*
- * Starts to connect; `connected` or `ended` follows, never from within this
- * call. Returns NULL with ERR_REFUSED if no socket is to be had.
+ * Starts to connect. `connected` or `ended` is called later, never from within
+ * this call. `t` may be NULL. Returns NULL with ERR_REFUSED if no socket can be
+ * opened or connect fails at once.
  */
 struct ioc *ioc_connect(struct ev_loop *loop, const struct sockaddr_in *to,
-			const struct ioc_timeouts *p,
+			const struct ioc_timeouts *t,
 			const struct ioc_vtable *vt, void *owner,
 			struct err *e);
 
-/* Takes over an accepted, non-blocking socket. */
+/*
+ * Creates a connection from an accepted, non-blocking socket, which it then
+ * owns. `t` may be NULL.
+ */
 struct ioc *ioc_adopt(struct ev_loop *loop, int fd,
-		      const struct ioc_timeouts *p, const struct ioc_vtable *vt,
+		      const struct ioc_timeouts *t, const struct ioc_vtable *vt,
 		      void *owner);
 
-/* Queues bytes; they are copied. No effect on a closed connection. */
+/* Copies and sends or queues bytes. No effect on a closed connection. */
 void ioc_write(struct ioc *c, const void *data, size_t len);
 
-/* Bytes that wait to be written. */
+/* Number of queued bytes. */
 size_t ioc_pending(const struct ioc *c);
 
-/* Stops or restarts reading; the peer's window then fills. */
+/*
+ * Stops or resumes reading. While paused, the receive window fills, which stops
+ * the peer from sending.
+ */
 void ioc_pause(struct ioc *c, bool paused);
 
-/* Closes and frees; no callback follows. Bytes that wait are dropped. */
+/*
+ * Closes and frees the connection. No callback follows; queued bytes are lost.
+ */
 void ioc_close(struct ioc *c);
 
-/* As ioc_close, but the peer sees a reset: used to stop its work at once. */
+/*
+ * Like ioc_close, but sends a reset, so that the peer detects it at once and
+ * can stop its work.
+ */
 void ioc_abort(struct ioc *c);
 
-/* A listening, non-blocking socket, or -1 with an error. */
+/* Opens a listening, non-blocking socket. Returns -1 with ERR_IO on failure. */
 int ioc_listen(const struct sockaddr_in *at, struct err *e);
 
 #endif
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,5 +1,7 @@
-/* HTTP: parsing of what callers and endpoints may send, and calls and
- * answers over loopback, with peers that misbehave. */
+/*
+ * HTTP: the parser, with input that clients and endpoints may send, and client
+ * and server over loopback, with peers that violate the protocol.
+ */
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -38,7 +40,7 @@
 
 static const struct hparse_vtable parse_vtable = { p_head, p_body, p_end };
 
-/* Feeds the text in pieces of `step` bytes until something is decided. */
+/* Feeds the text in pieces of `step` bytes until the parser stops or fails. */
 static enum hparse_result feed(struct hparse *p, const char *text, size_t step,
 			       size_t *used)
 {
@@ -57,7 +59,7 @@
 	return r;
 }
 
-static void request_is_read_however_it_is_cut(void)
+static void request_is_parsed_in_pieces_of_any_size(void)
 {
 	static const char text[] =
 		"POST /a/b?c=1 HTTP/1.1\r\nHost: x.example\r\nEmpty:\r\n"
@@ -82,11 +84,11 @@
 }
 
 /*
- * Symptom: an endpoint ran a request that no caller had sent. Sequence: a
- * head that two readers frame differently hides a second request in the body
- * of the first. All of these are refused, not guessed at.
+ * Request smuggling: an endpoint processed a request that no client had sent.
+ * If two servers frame a message differently, the body of one request can hide
+ * another. All messages with ambiguous framing must be rejected.
  */
-static void framing_with_two_meanings_is_refused(void)
+static void ambiguous_framing_is_rejected(void)
 {
 	static const char *const bad[] = {
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
@@ -115,14 +117,14 @@
 		hparse_init(&p, true, 16384, &parse_vtable, &got);
 		r = feed(&p, bad[i], strlen(bad[i]), &used);
 		if (r != HPARSE_MALFORMED && r != HPARSE_HEAD_TOO_LARGE)
-			printf("  not refused: %zu\n", i);
+			printf("  not rejected: %zu\n", i);
 		CU_ASSERT(r == HPARSE_MALFORMED || r == HPARSE_HEAD_TOO_LARGE);
 		hparse_free(&p);
 		buf_free(&got.body);
 	}
 }
 
-static void large_head_is_refused(void)
+static void too_large_head_is_rejected(void)
 {
 	struct parsed got = { 0, 0, BUF_INIT };
 	BUF_AUTO text = BUF_INIT;
@@ -142,7 +144,7 @@
 	hparse_free(&p);
 }
 
-static void hop_headers_are_known(void)
+static void hop_by_hop_headers_are_recognized(void)
 {
 	struct parsed got = { 0, 0, BUF_INIT };
 	struct hparse p;
@@ -162,7 +164,7 @@
 	hparse_free(&p);
 }
 
-static void queries_are_taken_apart(void)
+static void query_parameters_are_parsed(void)
 {
 	char v[8];
 
@@ -175,15 +177,15 @@
 	CU_ASSERT_FALSE(hmsg_query("/p", "name", v, sizeof(v)));
 }
 
-/* ---- A peer on loopback that answers as told ---- */
+/* ---- A server on loopback with a fixed response ---- */
 
 struct peer {
 	struct hsc_server server;
 	struct sockaddr_in addr;
-	const char *raw; /* what it answers; NULL: nothing */
-	bool cut;	 /* closes after it */
+	const char *raw; /* bytes of each response; NULL: no response */
+	bool disconnect; /* disconnect after `raw` */
 	int requests;
-	struct hsc *held; /* the connection that waits for an answer */
+	struct hsc *last_conn; /* the connection of the last request */
 };
 
 static void peer_request(struct hsc *c)
@@ -191,25 +193,26 @@
 	struct peer *p = c->server->owner;
 
 	p->requests++;
-	p->held = c;
+	p->last_conn = c;
 	if (!p->raw)
 		return;
 	hsc_write(c, p->raw, strlen(p->raw));
-	if (p->cut)
+	if (p->disconnect)
 		hsc_disconnect(c);
 	else
 		hsc_done(c, false);
 }
 
-static int gone;
+static int disconnects;
 
-static void peer_gone(struct hsc *c)
+static void peer_disconnected(struct hsc *c)
 {
 	(void)c;
-	gone++;
+	disconnects++;
 }
 
-static void peer_fault(struct hsc *c, enum hsc_read_error f, struct buf *out)
+static void peer_read_error(struct hsc *c, enum hsc_read_error f,
+			    struct buf *out)
 {
 	(void)c;
 	buf_fmt(out,
@@ -224,8 +227,8 @@
 	*out = (struct hsc_limits){ 4096, 10000, 200, 200, 5000 };
 }
 
-static const struct hsc_vtable peer_vtable = { peer_request, peer_gone,
-					       peer_fault, peer_limits };
+static const struct hsc_vtable peer_vtable = { peer_request, peer_disconnected,
+					       peer_read_error, peer_limits };
 
 static struct ev_loop *loop;
 
@@ -242,18 +245,18 @@
 	p->raw = raw;
 }
 
-static void on_end_of_turn(struct ev_loop *l, ev_timer *t, int revents)
+static void on_loop_timeout(struct ev_loop *l, ev_timer *t, int revents)
 {
 	(void)t;
 	(void)revents;
 	ev_break(l, EVBREAK_ALL);
 }
 
-static void turn(double s)
+static void run_loop(double s)
 {
 	ev_timer t;
 
-	ev_timer_init(&t, on_end_of_turn, s, 0);
+	ev_timer_init(&t, on_loop_timeout, s, 0);
 	ev_timer_start(loop, &t);
 	ev_run(loop, 0);
 	ev_timer_stop(loop, &t);
@@ -267,8 +270,8 @@
 	int status;
 	bool sent;
 	struct buf body;
-	const char *skip; /* answers with this header value are passed over */
-	int extend_ms; /* each piece of the body bounds the call anew; 0: not */
+	const char *skip_id; /* skip responses with this Id header */
+	int extend_ms; /* htc_extend at each piece of the body; 0: do not */
 };
 
 static bool c_head(struct htc_call *h, const struct hmsg *m)
@@ -276,7 +279,7 @@
 	struct call *c = htc_owner(h);
 	const char *id = hmsg_find(m, "Id");
 
-	if (c->skip && id && !strcmp(id, c->skip))
+	if (c->skip_id && id && !strcmp(id, c->skip_id))
 		return false;
 	c->heads++;
 	c->status = m->status;
@@ -327,7 +330,7 @@
 #define OK(body_len, body) \
 	"HTTP/1.1 200 OK\r\nContent-Length: " #body_len "\r\n\r\n" body
 
-static void connections_are_kept(void)
+static void connections_are_reused(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -338,7 +341,7 @@
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	for (i = 0; i < 3; i++) {
 		start(&to, &c, 0);
-		turn(0.02);
+		run_loop(0.02);
 		CU_ASSERT_EQUAL(c.ends, 1);
 		CU_ASSERT_STRING_EQUAL(buf_cstr(&c.body), "hi");
 		buf_free(&c.body);
@@ -346,16 +349,16 @@
 	CU_ASSERT_EQUAL(to.opened, 1);
 	CU_ASSERT_EQUAL(to.reused, 2);
 	htc_peer_close(&to);
-	turn(0.01);
+	run_loop(0.01);
 	hsc_server_close(&p.server);
 }
 
 /*
- * Symptom: a caller got the answer to somebody else's request. Sequence: an
- * endpoint sends a second answer; it lies in the kept connection and is read
- * as the answer to the next request. Cause: the connection was used again.
+ * A client got the response to another client's request. An endpoint had sent a
+ * second response, the connection was reused, and the second response was taken
+ * for the response to the next request.
  */
-static void connection_with_a_second_answer_is_not_kept(void)
+static void connection_with_a_second_response_is_not_reused(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -364,15 +367,15 @@
 	open_peer(&p, OK(2, "hi") OK(3, "bad"));
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	start(&to, &c, 0);
-	turn(0.02);
+	run_loop(0.02);
 	CU_ASSERT_STRING_EQUAL(buf_cstr(&c.body), "hi");
 	buf_free(&c.body);
 	CU_ASSERT_EQUAL(to.nr_idle, 0);
 	hsc_server_close(&p.server);
 }
 
-/* The second answer comes late, when the connection is idle. */
-static void late_bytes_close_an_idle_connection(void)
+/* As above, but the second response arrives while the connection is idle. */
+static void bytes_on_an_idle_connection_close_it(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -381,17 +384,19 @@
 	open_peer(&p, OK(2, "hi"));
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	start(&to, &c, 0);
-	turn(0.02);
+	run_loop(0.02);
 	buf_free(&c.body);
 	CU_ASSERT_EQUAL(to.nr_idle, 1);
-	ioc_write(p.held->io, "HTTP/1.1 200 OK\r\n\r\n", 19);
-	turn(0.02);
+	ioc_write(p.last_conn->io, "HTTP/1.1 200 OK\r\n\r\n", 19);
+	run_loop(0.02);
 	CU_ASSERT_EQUAL(to.nr_idle, 0);
 	hsc_server_close(&p.server);
 }
 
-/* An answer of another request at the point of ours is passed over. */
-static void foreign_answer_is_passed_over(void)
+/*
+ * A response that the owner does not accept is skipped; the next one is used.
+ */
+static void response_to_another_request_is_skipped(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -403,22 +408,22 @@
 		  "HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 3\r\n\r\nnew");
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	memset(&c, 0, sizeof(c));
-	c.skip = "old";
+	c.skip_id = "old";
 	buf_str(&wire, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
 	htc_start(&to, &wire, 0, false, 0, &call_vtable, &c);
-	turn(0.02);
+	run_loop(0.02);
 	CU_ASSERT_EQUAL(c.ends, 1);
 	CU_ASSERT_STRING_EQUAL(buf_cstr(&c.body), "new");
-	CU_ASSERT_EQUAL(to.nr_idle, 0); /* that connection is not trusted */
+	CU_ASSERT_EQUAL(to.nr_idle, 0); /* not reused after that */
 	buf_free(&c.body);
 	hsc_server_close(&p.server);
 }
 
-static void broken_answers_fail(void)
+static void truncated_and_malformed_responses_fail(void)
 {
 	static const struct {
 		const char *raw;
-		bool cut;
+		bool disconnect;
 		enum htc_failure why;
 	} cases[] = {
 		{ "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort", true,
@@ -436,10 +441,10 @@
 		struct call c;
 
 		open_peer(&p, cases[i].raw);
-		p.cut = cases[i].cut;
+		p.disconnect = cases[i].disconnect;
 		htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 		start(&to, &c, 0);
-		turn(0.03);
+		run_loop(0.03);
 		CU_ASSERT_EQUAL(c.ends, 0);
 		CU_ASSERT_EQUAL(c.failures, 1);
 		CU_ASSERT_EQUAL(c.why, cases[i].why);
@@ -449,25 +454,25 @@
 	}
 }
 
-/* No length: the end of the connection is the end of the answer. */
-static void unframed_answer_ends_with_its_connection(void)
+/* Without length and chunks, closing the connection ends the response. */
+static void unframed_response_ends_with_its_connection(void)
 {
 	struct htc_peer to;
 	struct peer p;
 	struct call c;
 
 	open_peer(&p, "HTTP/1.1 200 OK\r\n\r\nall of it");
-	p.cut = true;
+	p.disconnect = true;
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	start(&to, &c, 0);
-	turn(0.03);
+	run_loop(0.03);
 	CU_ASSERT_EQUAL(c.ends, 1);
 	CU_ASSERT_STRING_EQUAL(buf_cstr(&c.body), "all of it");
 	buf_free(&c.body);
 	hsc_server_close(&p.server);
 }
 
-static void refused_connection_is_not_sent(void)
+static void call_on_refused_connection_is_not_sent(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -477,33 +482,33 @@
 	hsc_server_close(&p.server);
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	start(&to, &c, 0);
-	turn(0.03);
+	run_loop(0.03);
 	CU_ASSERT_EQUAL(c.failures, 1);
 	CU_ASSERT_EQUAL(c.why, HTC_NOT_SENT);
 }
 
-static void note_found(void *arg, enum htc_probe_result found)
+static void save_result(void *arg, enum htc_probe_result result)
 {
-	*(int *)arg = found;
+	*(int *)arg = result;
 }
 
-/* The connection of a probe serves the next call. */
-static void probe_of_a_peer_that_is_there(void)
+/* The connection of a probe is reused by the next call. */
+static void connection_of_a_probe_is_reused(void)
 {
 	struct htc_peer to;
 	struct peer p;
 	struct call c;
-	int found = -1;
+	int result = -1;
 
 	open_peer(&p, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
-	CU_ASSERT(htc_probe(&to, note_found, &found));
-	CU_ASSERT_EQUAL(found, -1);
-	turn(0.03);
-	CU_ASSERT_EQUAL(found, HTC_PROBE_CONNECTED);
+	CU_ASSERT(htc_probe(&to, save_result, &result));
+	CU_ASSERT_EQUAL(result, -1);
+	run_loop(0.03);
+	CU_ASSERT_EQUAL(result, HTC_PROBE_CONNECTED);
 	CU_ASSERT_EQUAL(to.nr_idle, 1);
 	start(&to, &c, 0);
-	turn(0.03);
+	run_loop(0.03);
 	CU_ASSERT_EQUAL(c.ends, 1);
 	CU_ASSERT_EQUAL(to.opened, 1);
 	buf_free(&c.body);
@@ -511,22 +516,22 @@
 	hsc_server_close(&p.server);
 }
 
-static void probe_of_a_peer_that_has_ended(void)
+static void probe_of_an_exited_peer_is_refused(void)
 {
 	struct htc_peer to;
 	struct peer p;
-	int found = -1;
+	int result = -1;
 
 	open_peer(&p, NULL);
 	hsc_server_close(&p.server);
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
-	CU_ASSERT(htc_probe(&to, note_found, &found));
-	turn(0.03);
-	CU_ASSERT_EQUAL(found, HTC_PROBE_REFUSED);
+	CU_ASSERT(htc_probe(&to, save_result, &result));
+	run_loop(0.03);
+	CU_ASSERT_EQUAL(result, HTC_PROBE_REFUSED);
 	CU_ASSERT_EQUAL(to.nr_open, 0);
 }
 
-static void silent_peer_is_given_up(void)
+static void call_to_a_silent_peer_times_out(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -534,22 +539,22 @@
 
 	open_peer(&p, NULL);
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
-	gone = 0;
+	disconnects = 0;
 	start(&to, &c, 50);
-	turn(0.12);
+	run_loop(0.12);
 	CU_ASSERT_EQUAL(c.failures, 1);
 	CU_ASSERT_EQUAL(c.why, HTC_TIMEOUT);
-	CU_ASSERT_EQUAL(gone, 1);
+	CU_ASSERT_EQUAL(disconnects, 1);
 	hsc_server_close(&p.server);
 }
 
 /*
- * Symptom: a large answer on a slow link never arrives, though the peer sends
- * it all the while. Sequence: it takes longer than the bound on the call, is
- * given up and asked for anew. Cause: the bound was on the whole answer. It is
- * on silence: pieces that come keep the call, and it ends when none do.
+ * A large response over a slow link never completed: it took longer than the
+ * time-out of the call, which was cancelled and repeated, although the peer was
+ * sending all the time. With htc_extend, each piece restarts the time-out, and
+ * the call fails only when no more pieces arrive.
  */
-static void slow_answer_is_not_a_silent_peer(void)
+static void slow_response_does_not_time_out(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -560,25 +565,25 @@
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
 	start(&to, &c, 400);
 	c.extend_ms = 400;
-	turn(0.03);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(p.held);
-	hsc_write(p.held, OK(8, "a"), strlen(OK(8, "a")));
+	run_loop(0.03);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(p.last_conn);
+	hsc_write(p.last_conn, OK(8, "a"), strlen(OK(8, "a")));
 	for (i = 0; i < 6; i++) {
-		turn(0.1);
-		hsc_write(p.held, "b", 1);
+		run_loop(0.1);
+		hsc_write(p.last_conn, "b", 1);
 	}
-	turn(0.03);
+	run_loop(0.03);
 	CU_ASSERT_EQUAL(c.failures, 0);
 	CU_ASSERT_EQUAL(c.body.len, 7);
-	turn(0.6);
+	run_loop(0.6);
 	CU_ASSERT_EQUAL(c.failures, 1);
 	CU_ASSERT_EQUAL(c.why, HTC_TIMEOUT);
 	buf_free(&c.body);
 	hsc_server_close(&p.server);
 }
 
-/* A caller that leaves stops the work at the endpoint. */
-static void cancelled_call_is_seen_by_the_peer(void)
+/* The endpoint can stop its work when the client cancels. */
+static void peer_detects_a_cancelled_call(void)
 {
 	struct htc_peer to;
 	struct peer p;
@@ -587,32 +592,32 @@
 
 	open_peer(&p, NULL);
 	htc_peer_init(&to, loop, clk_real(), &p.addr, &call_limits);
-	gone = 0;
+	disconnects = 0;
 	h = start(&to, &c, 0);
-	turn(0.02);
+	run_loop(0.02);
 	CU_ASSERT_EQUAL(p.requests, 1);
 	htc_cancel(h);
-	turn(0.02);
-	CU_ASSERT_EQUAL(gone, 1);
+	run_loop(0.02);
+	CU_ASSERT_EQUAL(disconnects, 1);
 	CU_ASSERT_EQUAL(c.failures, 0);
 	CU_ASSERT_EQUAL(to.nr_open, 0);
 	hsc_server_close(&p.server);
 }
 
 /*
- * Symptom: a process ended with a fault on memory. Sequence: the last request
- * on an endpoint that had left ends; its owner drops the endpoint, and the
- * endpoint's peer with it, from within the callback; then the connection of
- * that request was put back into the peer. Cause: the order of the two.
+ * Use after free: the last request at a removed endpoint ended. Its owner freed
+ * the endpoint, and with it the htc_peer, from within the callback; the
+ * connection of the request was then returned to the freed peer. It must be
+ * returned before the callback.
  */
-struct dropped {
+struct freed_peer_call {
 	struct call call;
 	struct htc_peer *peer;
 };
 
 static void d_end(struct htc_call *h)
 {
-	struct dropped *d = htc_owner(h);
+	struct freed_peer_call *d = htc_owner(h);
 
 	d->call.ends++;
 	htc_peer_close(d->peer);
@@ -626,36 +631,38 @@
 	d_end(h);
 }
 
-static void peer_may_go_with_its_last_call(void)
+static void peer_can_be_freed_by_its_last_call(void)
 {
 	static const struct htc_vtable vtable = { c_head, c_body, d_end,
 						  d_failed };
-	int cut;
+	int disconnect;
 
-	for (cut = 0; cut < 2; cut++) {
-		struct dropped d;
+	for (disconnect = 0; disconnect < 2; disconnect++) {
+		struct freed_peer_call d;
 		struct peer p;
 		struct buf wire = BUF_INIT;
 
-		open_peer(&p,
-			  cut ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"
-			      : OK(2, "hi"));
-		p.cut = cut;
+		open_peer(
+			&p,
+			disconnect
+				? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"
+				: OK(2, "hi"));
+		p.disconnect = disconnect;
 		memset(&d, 0, sizeof(d));
 		d.peer = malloc(sizeof(*d.peer));
 		htc_peer_init(d.peer, loop, clk_real(), &p.addr, &call_limits);
 		buf_str(&wire, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
 		htc_start(d.peer, &wire, 0, false, 0, &vtable, &d);
-		turn(0.03);
+		run_loop(0.03);
 		CU_ASSERT_EQUAL(d.call.ends, 1);
 		buf_free(&d.call.body);
 		hsc_server_close(&p.server);
 	}
 }
 
-/* ---- The server's side ---- */
+/* ---- Server ---- */
 
-/* A blocking caller; the loop turns between its steps. */
+/* A client with a blocking socket; the loop runs between its steps. */
 static int connect_to(const struct peer *p)
 {
 	const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -685,7 +692,7 @@
 			(ssize_t)strlen(text));
 }
 
-static void requests_in_a_row_are_answered_in_order(void)
+static void pipelined_requests_get_responses_in_order(void)
 {
 	struct peer p;
 	char got[1024];
@@ -697,23 +704,23 @@
 		  "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n"
 		  "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n"
 		  "GET /3 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-	turn(0.05);
+	run_loop(0.05);
 	read_all(fd, got, sizeof(got));
 	CU_ASSERT_EQUAL(p.requests, 3);
 	CU_ASSERT_STRING_EQUAL(got, OK(2, "hi") OK(2, "hi") OK(2, "hi"));
 	close(fd);
-	turn(0.02);
+	run_loop(0.02);
 	hsc_server_close(&p.server);
 }
 
-static void bad_slow_and_large_requests_are_told_so(void)
+static void bad_requests_get_an_error_response(void)
 {
 	static const struct {
 		const char *text;
-		const char *want;
+		const char *expected;
 	} cases[] = {
 		{ "BAD\r\n\r\n", "HTTP/1.1 400" },
-		{ "GET / HTTP/1.1\r\nHost:", "HTTP/1.1 403" }, /* too slow */
+		{ "GET / HTTP/1.1\r\nHost:", "HTTP/1.1 403" }, /* HSC_TIMEOUT */
 		{ "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n",
 		  "HTTP/1.1 402" },
 	};
@@ -727,22 +734,23 @@
 		open_peer(&p, OK(2, "hi"));
 		fd = connect_to(&p);
 		send_text(fd, cases[i].text);
-		turn(0.3);
+		run_loop(0.3);
 		read_all(fd, got, sizeof(got));
-		CU_ASSERT_EQUAL(strncmp(got, cases[i].want, 12), 0);
+		CU_ASSERT_EQUAL(strncmp(got, cases[i].expected, 12), 0);
 		CU_ASSERT_EQUAL(p.requests, 0);
 		close(fd);
-		turn(0.02);
+		run_loop(0.02);
 		hsc_server_close(&p.server);
 	}
 }
 
 /*
- * Symptom: after SIGTERM a request that had been read got a closed
- * connection. Sequence: no request is under way, the process decides to end,
- * and reads one more in the same turn. Cause: ending in one step.
+ * After SIGTERM, the connection of a request that had been read was closed. The
+ * process had no request in progress, decided to exit, and read one more in the
+ * same iteration of the loop. Shutdown therefore has two steps: drain, then
+ * close the connections on which nothing was read.
  */
-static void leaving_keeps_what_was_read(void)
+static void closing_idle_connections_keeps_read_requests(void)
 {
 	struct peer p;
 	char got[256];
@@ -754,17 +762,17 @@
 	half = connect_to(&p);
 	send_text(busy, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
 	send_text(half, "GET /2 HTTP/1.1\r\nHo");
-	turn(0.03);
+	run_loop(0.03);
 	hsc_server_drain(&p.server);
 	hsc_server_close_idle(&p.server);
 	CU_ASSERT_EQUAL(p.server.nr_conns, 2);
 	CU_ASSERT_EQUAL(read_all(idle, got, sizeof(got)), 0);
-	CU_ASSERT(hsc_must_close(p.held));
-	hsc_write(p.held, OK(2, "hi"), strlen(OK(2, "hi")));
-	hsc_done(p.held, false);
+	CU_ASSERT(hsc_must_close(p.last_conn));
+	hsc_write(p.last_conn, OK(2, "hi"), strlen(OK(2, "hi")));
+	hsc_done(p.last_conn, false);
 	p.raw = OK(2, "yo");
 	send_text(half, "st: x\r\n\r\n");
-	turn(0.05);
+	run_loop(0.05);
 	read_all(busy, got, sizeof(got));
 	CU_ASSERT_STRING_EQUAL(got, OK(2, "hi"));
 	read_all(half, got, sizeof(got));
@@ -772,61 +780,68 @@
 	close(busy);
 	close(half);
 	close(idle);
-	turn(0.02);
+	run_loop(0.02);
 	CU_ASSERT_EQUAL(p.server.nr_conns, 0);
 	hsc_server_close(&p.server);
 }
 
-static void caller_that_leaves_is_noticed(void)
+static void client_that_disconnects_is_detected(void)
 {
 	struct peer p;
 	int fd;
 
 	open_peer(&p, NULL);
-	gone = 0;
+	disconnects = 0;
 	fd = connect_to(&p);
 	send_text(fd, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
-	turn(0.02);
+	run_loop(0.02);
 	close(fd);
-	turn(0.02);
-	CU_ASSERT_EQUAL(gone, 1);
+	run_loop(0.02);
+	CU_ASSERT_EQUAL(disconnects, 1);
 	CU_ASSERT_EQUAL(p.server.nr_conns, 0);
 	hsc_server_close(&p.server);
 }
 
 static const struct unit_test tests[] = {
-	{ "a request is read however it is cut",
-	  request_is_read_however_it_is_cut },
-	{ "framing with two meanings is refused",
-	  framing_with_two_meanings_is_refused },
-	{ "a large head is refused", large_head_is_refused },
-	{ "hop headers are known", hop_headers_are_known },
-	{ "queries are taken apart", queries_are_taken_apart },
-	{ "connections are kept", connections_are_kept },
-	{ "a connection with a second answer is not kept",
-	  connection_with_a_second_answer_is_not_kept },
-	{ "late bytes close an idle connection",
-	  late_bytes_close_an_idle_connection },
-	{ "a foreign answer is passed over", foreign_answer_is_passed_over },
-	{ "broken answers fail", broken_answers_fail },
-	{ "an unframed answer ends with its connection",
-	  unframed_answer_ends_with_its_connection },
-	{ "a refused connection is not sent", refused_connection_is_not_sent },
-	{ "slow answer is not a silent peer",
-	  slow_answer_is_not_a_silent_peer },
-	{ "a probe of a peer that is there is kept",
-	  probe_of_a_peer_that_is_there },
-	{ "a probe of a peer that has ended", probe_of_a_peer_that_has_ended },
-	{ "a silent peer is given up", silent_peer_is_given_up },
-	{ "a cancelled call is seen by the peer",
-	  cancelled_call_is_seen_by_the_peer },
-	{ "a peer may go with its last call", peer_may_go_with_its_last_call },
-	{ "requests in a row are answered in order",
-	  requests_in_a_row_are_answered_in_order },
-	{ "bad, slow and large requests are told so",
-	  bad_slow_and_large_requests_are_told_so },
-	{ "leaving keeps what was read", leaving_keeps_what_was_read },
-	{ "a caller that leaves is noticed", caller_that_leaves_is_noticed },
+	{ "a request is parsed in pieces of any size",
+	  request_is_parsed_in_pieces_of_any_size },
+	{ "ambiguous framing is rejected", ambiguous_framing_is_rejected },
+	{ "a too large head is rejected", too_large_head_is_rejected },
+	{ "hop-by-hop headers are recognized",
+	  hop_by_hop_headers_are_recognized },
+	{ "query parameters are parsed", query_parameters_are_parsed },
+	{ "connections are reused", connections_are_reused },
+	{ "a connection with a second response is not reused",
+	  connection_with_a_second_response_is_not_reused },
+	{ "bytes on an idle connection close it",
+	  bytes_on_an_idle_connection_close_it },
+	{ "a response to another request is skipped",
+	  response_to_another_request_is_skipped },
+	{ "truncated and malformed responses fail",
+	  truncated_and_malformed_responses_fail },
+	{ "an unframed response ends with its connection",
+	  unframed_response_ends_with_its_connection },
+	{ "a call on a refused connection is not sent",
+	  call_on_refused_connection_is_not_sent },
+	{ "a slow response does not time out",
+	  slow_response_does_not_time_out },
+	{ "the connection of a probe is reused",
+	  connection_of_a_probe_is_reused },
+	{ "a probe of a peer that has exited is refused",
+	  probe_of_an_exited_peer_is_refused },
+	{ "a call to a silent peer times out",
+	  call_to_a_silent_peer_times_out },
+	{ "the peer detects a cancelled call", peer_detects_a_cancelled_call },
+	{ "a peer can be freed by its last call",
+	  peer_can_be_freed_by_its_last_call },
+	{ "pipelined requests get responses in order",
+	  pipelined_requests_get_responses_in_order },
+	{ "malformed, slow and large requests get an error response",
+	  bad_requests_get_an_error_response },
+	{ "closing idle connections keeps requests that were read",
+	  closing_idle_connections_keeps_read_requests },
+	{ "a client that disconnects is detected",
+	  client_that_disconnects_is_detected },
 };
 
 int main(void)
