--- a/lib/io/ioc.c
+++ b/lib/io/ioc.c
@@ -232,7 +232,8 @@
 	struct ioc *c;
 
 	if (fd < 0) {
-		err_set(e, ERR_REFUSED, "no socket: %s", strerror(errno));
+		err_set(e, ERR_REFUSED, "cannot open a socket: %s",
+			strerror(errno));
 		return NULL;
 	}
 	set_tcp_options(fd, t);
@@ -293,7 +294,8 @@
 	const int on = 1;
 
 	if (fd < 0)
-		return err_set(e, ERR_IO, "no socket: %s", strerror(errno));
+		return err_set(e, ERR_IO, "cannot open a socket: %s",
+			       strerror(errno));
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	if (bind(fd, (const struct sockaddr *)at, sizeof(*at)) ||
 	    listen(fd, LISTEN_BACKLOG)) {
