--- a/lib/base/buf.c
+++ b/lib/base/buf.c
@@ -20,7 +20,7 @@
 		b->data[0] = '\0';
 }
 
-static void buf_room(struct buf *b, size_t extra)
+static void buf_reserve(struct buf *b, size_t extra)
 {
 	const size_t want = b->len + extra + 1;
 	size_t cap = b->cap ? b->cap : 64;
@@ -37,7 +37,7 @@
 
 void buf_add(struct buf *b, const void *data, size_t len)
 {
-	buf_room(b, len);
+	buf_reserve(b, len);
 	if (len)
 		memcpy(b->data + b->len, data, len);
 	b->len += len;
@@ -58,7 +58,7 @@
 	n = vsnprintf(NULL, 0, fmt, ap);
 	va_end(ap);
 	assert(n >= 0);
-	buf_room(b, (size_t)n);
+	buf_reserve(b, (size_t)n);
 	va_start(ap, fmt);
 	vsnprintf(b->data + b->len, (size_t)n + 1, fmt, ap);
 	va_end(ap);
--- a/lib/base/err.c
+++ b/lib/base/err.c
@@ -16,7 +16,7 @@
 	return -1;
 }
 
-bool err_is(const struct err *e)
+bool err_is_set(const struct err *e)
 {
 	return e->code != ERR_NONE;
 }
--- a/lib/base/err.h
+++ b/lib/base/err.h
@@ -37,7 +37,7 @@
 	__attribute__((format(printf, 3, 4)));
 
 /* True if an error is set: the one predicate for testing outcomes. */
-bool err_is(const struct err *e);
+bool err_is_set(const struct err *e);
 
 /* The name of a code, for logs; never NULL. */
 const char *err_name(enum err_code code);
--- a/lib/base/hsh.c
+++ b/lib/base/hsh.c
@@ -18,27 +18,27 @@
 	return hsh_bytes(s, strlen(s), seed);
 }
 
-struct hsh_wide hsh_wide(const void *data, size_t len)
+struct hsh128 hsh128(const void *data, size_t len)
 {
 	const XXH128_hash_t h = XXH3_128bits(data, len);
 
-	return (struct hsh_wide){ h.high64, h.low64 };
+	return (struct hsh128){ h.high64, h.low64 };
 }
 
-struct hsh_wide hsh_wide_join(struct hsh_wide a, struct hsh_wide b)
+struct hsh128 hsh128_combine(struct hsh128 a, struct hsh128 b)
 {
 	const uint64_t all[4] = { a.hi, a.lo, b.hi, b.lo };
 
-	return hsh_wide(all, sizeof(all));
+	return hsh128(all, sizeof(all));
 }
 
-void hsh_wide_hex(struct hsh_wide h, char out[33])
+void hsh128_hex(struct hsh128 h, char out[33])
 {
 	snprintf(out, 33, "%016llx%016llx", (unsigned long long)h.hi,
 		 (unsigned long long)h.lo);
 }
 
-bool hsh_wide_parse(const char *text, struct hsh_wide *out)
+bool hsh128_parse(const char *text, struct hsh128 *out)
 {
 	char half[17];
 
--- a/lib/base/hsh.h
+++ b/lib/base/hsh.h
@@ -13,25 +13,25 @@
 uint64_t hsh_str(const char *s, uint64_t seed);
 
 /* 128 bits, for telling contents apart that nobody compares; not for secrets. */
-struct hsh_wide {
+struct hsh128 {
 	uint64_t hi, lo;
 };
 
-struct hsh_wide hsh_wide(const void *data, size_t len);
+struct hsh128 hsh128(const void *data, size_t len);
 
 /* Of two contents in this order. */
-struct hsh_wide hsh_wide_join(struct hsh_wide a, struct hsh_wide b);
+struct hsh128 hsh128_combine(struct hsh128 a, struct hsh128 b);
 
-static inline bool hsh_wide_equal(struct hsh_wide a, struct hsh_wide b)
+static inline bool hsh128_equal(struct hsh128 a, struct hsh128 b)
 {
 	return a.hi == b.hi && a.lo == b.lo;
 }
 
 /* 32 hex digits; `out` holds 33 bytes. */
-void hsh_wide_hex(struct hsh_wide h, char out[33]);
+void hsh128_hex(struct hsh128 h, char out[33]);
 
 /* False if the text is no such digits. */
-bool hsh_wide_parse(const char *text, struct hsh_wide *out);
+bool hsh128_parse(const char *text, struct hsh128 *out);
 
 /* The rendezvous weight of a node for a key: the highest weight wins. */
 uint64_t hsh_rendezvous(uint64_t key, uint64_t node);
--- a/lib/base/jlog.c
+++ b/lib/base/jlog.c
@@ -10,10 +10,10 @@
 #include "base/buf.h"
 
 /* Bytes that wait for the reader; about 1,500 lines. */
-#define MAX_HELD 262144
+#define MAX_PENDING_BYTES 262144
 
 /* Lines a second that are kept; a busy entry writes some 150. */
-#define MAX_PER_S 2000
+#define MAX_LINES_PER_S 2000
 
 /* Lines are written in batches: a write for each would cost more than it. */
 #define FLUSH_S 0.25
@@ -24,13 +24,13 @@
 	int fd;
 	enum jlog_level level;
 	char instance[64];
-	struct buf held;
+	struct buf pending;
 	struct buf line;
-	bool skipping; /* the present line is below the level */
+	bool suppressed; /* the present line is below the level */
 	ev_timer flush;
-	uint64_t dropped, told;
+	uint64_t dropped, dropped_reported;
 	int64_t second;
-	unsigned in_second;
+	unsigned lines_in_second;
 };
 
 static void flush(struct jlog *l)
@@ -38,16 +38,16 @@
 	size_t at = 0;
 	ssize_t n;
 
-	while (at < l->held.len) {
-		n = write(l->fd, l->held.data + at, l->held.len - at);
+	while (at < l->pending.len) {
+		n = write(l->fd, l->pending.data + at, l->pending.len - at);
 		if (n <= 0)
 			break; /* the reader is full or gone: kept, bounded */
 		at += (size_t)n;
 	}
-	if (at == l->held.len)
-		buf_free(&l->held);
+	if (at == l->pending.len)
+		buf_free(&l->pending);
 	else
-		buf_shift(&l->held, at);
+		buf_shift(&l->pending, at);
 }
 
 static void on_flush(struct ev_loop *loop, ev_timer *t, int revents)
@@ -57,7 +57,7 @@
 	(void)revents;
 	ev_timer_stop(loop, t);
 	flush(l);
-	if (l->held.len)
+	if (l->pending.len)
 		ev_timer_again(loop, t);
 }
 
@@ -86,7 +86,7 @@
 		return;
 	ev_timer_stop(l->loop, &l->flush);
 	flush(l);
-	buf_free(&l->held);
+	buf_free(&l->pending);
 	buf_free(&l->line);
 	free(l);
 }
@@ -108,8 +108,8 @@
 {
 	static const char *const names[] = { "error", "warn", "info", "debug" };
 
-	l->skipping = level > l->level;
-	if (l->skipping)
+	l->suppressed = level > l->level;
+	if (l->suppressed)
 		return;
 	buf_reset(&l->line);
 	put_time(l);
@@ -118,7 +118,7 @@
 	jlog_str(l, "event", event);
 }
 
-static void put_name(struct jlog *l, const char *name)
+static void put_key(struct jlog *l, const char *name)
 {
 	buf_str(&l->line, ",\"");
 	buf_str(&l->line, name);
@@ -127,62 +127,63 @@
 
 void jlog_str(struct jlog *l, const char *name, const char *value)
 {
-	if (l->skipping)
+	if (l->suppressed)
 		return;
-	put_name(l, name);
+	put_key(l, name);
 	buf_json(&l->line, value ? value : "");
 }
 
 void jlog_int(struct jlog *l, const char *name, int64_t value)
 {
-	if (l->skipping)
+	if (l->suppressed)
 		return;
-	put_name(l, name);
+	put_key(l, name);
 	buf_fmt(&l->line, "%lld", (long long)value);
 }
 
 void jlog_num(struct jlog *l, const char *name, double value)
 {
-	if (l->skipping)
+	if (l->suppressed)
 		return;
-	put_name(l, name);
+	put_key(l, name);
 	buf_fmt(&l->line, "%.3g", value);
 }
 
 void jlog_bool(struct jlog *l, const char *name, bool value)
 {
-	if (l->skipping)
+	if (l->suppressed)
 		return;
-	put_name(l, name);
+	put_key(l, name);
 	buf_str(&l->line, value ? "true" : "false");
 }
 
-static bool over_bound(struct jlog *l)
+static bool over_limit(struct jlog *l)
 {
 	const int64_t second = clk_boot_ms(l->clk) / 1000;
 
 	if (second != l->second) {
 		l->second = second;
-		l->in_second = 0;
+		l->lines_in_second = 0;
 	}
-	return l->in_second++ >= MAX_PER_S ||
-	       l->held.len + l->line.len > MAX_HELD;
+	return l->lines_in_second++ >= MAX_LINES_PER_S ||
+	       l->pending.len + l->line.len > MAX_PENDING_BYTES;
 }
 
 void jlog_end(struct jlog *l)
 {
-	if (l->skipping)
+	if (l->suppressed)
 		return;
-	if (over_bound(l)) {
+	if (over_limit(l)) {
 		l->dropped++;
 		return;
 	}
-	if (l->dropped != l->told) {
-		jlog_int(l, "lines_dropped", (int64_t)(l->dropped - l->told));
-		l->told = l->dropped;
+	if (l->dropped != l->dropped_reported) {
+		jlog_int(l, "lines_dropped",
+			 (int64_t)(l->dropped - l->dropped_reported));
+		l->dropped_reported = l->dropped;
 	}
 	buf_str(&l->line, "}\n");
-	buf_add(&l->held, l->line.data, l->line.len);
+	buf_add(&l->pending, l->line.data, l->line.len);
 	if (!ev_is_active(&l->flush))
 		ev_timer_again(l->loop, &l->flush);
 }
--- a/lib/base/jsn.c
+++ b/lib/base/jsn.c
@@ -12,7 +12,7 @@
 #define JSN_PATH_MAX 256
 
 struct jsn_reader {
-	const char *what;
+	const char *source;
 	const char *text;
 	struct err *e;
 	char path[JSN_PATH_MAX];
@@ -168,8 +168,8 @@
 
 /* ---- Reporting ---- */
 
-static int vfault(const char *what, const char *text, const char *path,
-		  struct err *e, const char *fmt, va_list ap)
+static int verror_at(const char *what, const char *text, const char *path,
+		     struct err *e, const char *fmt, va_list ap)
 {
 	char msg[200];
 	int line, col;
@@ -180,14 +180,14 @@
 		       path, *path ? ": " : "", msg);
 }
 
-int jsn_fault(const char *what, const char *text, const char *path,
-	      struct err *e, const char *fmt, ...)
+int jsn_error_at(const char *what, const char *text, const char *path,
+		 struct err *e, const char *fmt, ...)
 {
 	va_list ap;
 	int ret;
 
 	va_start(ap, fmt);
-	ret = vfault(what, text, path, e, fmt, ap);
+	ret = verror_at(what, text, path, e, fmt, ap);
 	va_end(ap);
 	return ret;
 }
@@ -199,7 +199,7 @@
 	int ret;
 
 	va_start(ap, fmt);
-	ret = vfault(r->what, r->text, r->path, r->e, fmt, ap);
+	ret = verror_at(r->source, r->text, r->path, r->e, fmt, ap);
 	va_end(ap);
 	return ret;
 }
--- a/lib/base/jsn.h
+++ b/lib/base/jsn.h
@@ -68,8 +68,8 @@
  * Reports a fault found after reading (a name that does not exist, say) at
  * the position of `path`, such as "accounts[2].name". Returns -1.
  */
-int jsn_fault(const char *what, const char *text, const char *path,
-	      struct err *e, const char *fmt, ...)
+int jsn_error_at(const char *what, const char *text, const char *path,
+		 struct err *e, const char *fmt, ...)
 	__attribute__((format(printf, 5, 6)));
 
 /* The line and column (from 1) of the value at `path`; false if not there. */
--- a/lib/base/met.c
+++ b/lib/base/met.c
@@ -7,7 +7,7 @@
 {
 	const size_t i = m->count++;
 
-	assert(i < MET_MAX);
+	assert(i < MET_MAX_METRICS);
 	m->rows[i].name = name;
 	m->rows[i].help = help;
 	m->rows[i].type = type;
@@ -33,7 +33,7 @@
 {
 	struct met_histogram *h = &m->histograms[m->nr_histograms++];
 
-	assert(m->nr_histograms <= MET_HISTOGRAMS);
+	assert(m->nr_histograms <= MET_MAX_HISTOGRAMS);
 	h->name = name;
 	h->help = help;
 	return h;
--- a/lib/base/met.h
+++ b/lib/base/met.h
@@ -13,7 +13,8 @@
 
 #include "base/buf.h"
 
-#define MET_MAX 96 /* counters of one program; raise when one is added */
+#define MET_MAX_METRICS \
+	96 /* counters of one program; raise when one is added */
 
 typedef atomic_llong met_value;
 
@@ -22,7 +23,7 @@
  * one beyond; registered and printed like the counters.
  */
 #define MET_BUCKETS 12
-#define MET_HISTOGRAMS 8
+#define MET_MAX_HISTOGRAMS 8
 extern const int met_bounds_ms[MET_BUCKETS];
 
 struct met_histogram {
@@ -38,9 +39,9 @@
 		const char *help;
 		const char *type;
 		met_value value;
-	} rows[MET_MAX];
+	} rows[MET_MAX_METRICS];
 	size_t count;
-	struct met_histogram histograms[MET_HISTOGRAMS];
+	struct met_histogram histograms[MET_MAX_HISTOGRAMS];
 	size_t nr_histograms;
 };
 
--- a/lib/base/ring.c
+++ b/lib/base/ring.c
@@ -9,7 +9,7 @@
 
 struct ring {
 	pthread_mutex_t lock;
-	pthread_cond_t filled;
+	pthread_cond_t not_empty;
 	size_t cap;
 	size_t head;
 	size_t count;
@@ -27,7 +27,7 @@
 	pthread_mutex_init(&r->lock, NULL);
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
-	pthread_cond_init(&r->filled, &attr);
+	pthread_cond_init(&r->not_empty, &attr);
 	pthread_condattr_destroy(&attr);
 	return r;
 }
@@ -36,7 +36,7 @@
 {
 	if (!r)
 		return;
-	pthread_cond_destroy(&r->filled);
+	pthread_cond_destroy(&r->not_empty);
 	pthread_mutex_destroy(&r->lock);
 	free(r);
 }
@@ -51,7 +51,7 @@
 	if (ok) {
 		r->slots[(r->head + r->count) % r->cap] = item;
 		r->count++;
-		pthread_cond_signal(&r->filled);
+		pthread_cond_signal(&r->not_empty);
 	}
 	pthread_mutex_unlock(&r->lock);
 	return ok;
@@ -64,7 +64,7 @@
 
 	pthread_mutex_lock(&r->lock);
 	while (!r->count && !r->closed && wait_ms > 0) {
-		if (pthread_cond_timedwait(&r->filled, &r->lock, &until))
+		if (pthread_cond_timedwait(&r->not_empty, &r->lock, &until))
 			break;
 	}
 	if (r->count) {
@@ -80,7 +80,7 @@
 {
 	pthread_mutex_lock(&r->lock);
 	r->closed = true;
-	pthread_cond_broadcast(&r->filled);
+	pthread_cond_broadcast(&r->not_empty);
 	pthread_mutex_unlock(&r->lock);
 }
 
--- a/lib/config/apply.c
+++ b/lib/config/apply.c
@@ -79,9 +79,9 @@
 		return false;
 	same = !strcmp(d->service, c->service);
 	if (!same)
-		jsn_fault(c->what, c->text, "service", e,
-			  "the document is of \"%s\", not of \"%s\"",
-			  d->service, c->service);
+		jsn_error_at(c->what, c->text, "service", e,
+			     "the document is of \"%s\", not of \"%s\"",
+			     d->service, c->service);
 	doc_free(d);
 	return same;
 }
--- a/lib/config/doc.c
+++ b/lib/config/doc.c
@@ -122,8 +122,8 @@
 				continue;
 			snprintf(path, sizeof(path), "%s[%zu]%s", list, i,
 				 field);
-			return jsn_fault(what, text, path, e,
-					 "\"%s\" stands here twice", a);
+			return jsn_error_at(what, text, path, e,
+					    "\"%s\" stands here twice", a);
 		}
 	}
 	return 0;
@@ -141,9 +141,9 @@
 		if (m->min_replicas <= m->max_replicas)
 			continue;
 		snprintf(path, sizeof(path), "models[%zu].min_replicas", i);
-		return jsn_fault(what, text, path, e,
-				 "more than max_replicas (%lld)",
-				 (long long)m->max_replicas);
+		return jsn_error_at(what, text, path, e,
+				    "more than max_replicas (%lld)",
+				    (long long)m->max_replicas);
 	}
 	return 0;
 }
@@ -158,9 +158,10 @@
 		if (strlen(d->accounts[i].key_sha256) == 64)
 			continue;
 		snprintf(path, sizeof(path), "accounts[%zu].key_sha256", i);
-		return jsn_fault(what, text, path, e,
-				 "64 hex digits are expected (the SHA-256 of "
-				 "the key, never the key itself)");
+		return jsn_error_at(
+			what, text, path, e,
+			"64 hex digits are expected (the SHA-256 of "
+			"the key, never the key itself)");
 	}
 	return 0;
 }
@@ -186,11 +187,11 @@
 				continue;
 			snprintf(path, sizeof(path),
 				 "plain[%zu].routes[%zu].%s", i, j, field);
-			return jsn_fault(what, text, path, e, "%s is expected",
-					 *field == 'm'
-						 ? "GET, POST, PUT, PATCH or "
-						   "DELETE"
-						 : "a path that begins with /");
+			return jsn_error_at(
+				what, text, path, e, "%s is expected",
+				*field == 'm' ? "GET, POST, PUT, PATCH or "
+						"DELETE"
+					      : "a path that begins with /");
 		}
 	}
 	return 0;
@@ -214,15 +215,17 @@
 	    check_accounts(what, text, d, e) || check_routes(what, text, d, e))
 		return -1;
 	if (!d->nr_models && !d->nr_plain)
-		return jsn_fault(what, text, "models", e,
-				 "no model and no plain service: the document "
-				 "would serve nothing");
+		return jsn_error_at(
+			what, text, "models", e,
+			"no model and no plain service: the document "
+			"would serve nothing");
 	if (d->cost_weight + d->recompute_weight <= 0)
-		return jsn_fault(what, text, "cost_weight", e,
-				 "cost_weight and recompute_weight are both 0");
+		return jsn_error_at(
+			what, text, "cost_weight", e,
+			"cost_weight and recompute_weight are both 0");
 	if (d->survive_zone_loss && d->nr_zones < 2)
-		return jsn_fault(what, text, "survive_zone_loss", e,
-				 "needs at least two zones");
+		return jsn_error_at(what, text, "survive_zone_loss", e,
+				    "needs at least two zones");
 	return 0;
 }
 
--- a/lib/config/set.c
+++ b/lib/config/set.c
@@ -86,15 +86,16 @@
 
 	for (i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
 		if (set_split_addr(rows[i].value, host, &port))
-			return jsn_fault(what, text, rows[i].name, e,
-					 "an IP number and port such as "
-					 "127.0.0.1:8080 is expected");
+			return jsn_error_at(what, text, rows[i].name, e,
+					    "an IP number and port such as "
+					    "127.0.0.1:8080 is expected");
 	}
 	for (i = 0; i < s->nr_seeds; i++) {
 		snprintf(path, sizeof(path), "seeds[%zu]", i);
 		if (set_split_addr(s->seeds[i], host, &port))
-			return jsn_fault(what, text, path, e,
-					 "an IP number and port is expected");
+			return jsn_error_at(
+				what, text, path, e,
+				"an IP number and port is expected");
 	}
 	return 0;
 }
@@ -103,21 +104,22 @@
 		      struct err *e)
 {
 	if (strlen(s->peer_secret) < 16)
-		return jsn_fault(what, text, "peer_secret", e,
-				 "at least 16 characters are expected");
+		return jsn_error_at(what, text, "peer_secret", e,
+				    "at least 16 characters are expected");
 	if (strlen(s->grant_secret) < 16)
-		return jsn_fault(what, text, "grant_secret", e,
-				 "at least 16 characters are expected");
+		return jsn_error_at(what, text, "grant_secret", e,
+				    "at least 16 characters are expected");
 	if (!strstr(" error warn info debug ", s->log_level))
-		return jsn_fault(what, text, "log_level", e,
-				 "error, warn, info or debug is expected");
+		return jsn_error_at(what, text, "log_level", e,
+				    "error, warn, info or debug is expected");
 	if (s->drain_ms <= s->entry_list_ms)
-		return jsn_fault(what, text, "drain_ms", e,
-				 "must be longer than entry_list_ms (%lld): a "
-				 "caller may keep its list for that long",
-				 (long long)s->entry_list_ms);
+		return jsn_error_at(
+			what, text, "drain_ms", e,
+			"must be longer than entry_list_ms (%lld): a "
+			"caller may keep its list for that long",
+			(long long)s->entry_list_ms);
 	if (s->workers <= s->in_flight)
-		return jsn_fault(
+		return jsn_error_at(
 			what, text, "workers", e,
 			"must be more than in_flight (%lld), or status "
 			"calls would wait behind answers",
--- a/lib/edge/conf.c
+++ b/lib/edge/conf.c
@@ -180,7 +180,7 @@
 
 	if (!ioc_address(value, &addr, &why))
 		return 0;
-	return jsn_fault(path, text, field, e, "%s", why.text);
+	return jsn_error_at(path, text, field, e, "%s", why.text);
 }
 
 /* Unknown duties are ignored: the platform may offer more than these. */
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -119,19 +119,19 @@
 
 /* A request with this content that was sent to an endpoint; NULL: none. */
 static const struct edge_req *find_in_flight(const struct edge *en,
-					     struct hsh_wide content)
+					     struct hsh128 content)
 {
 	const struct edge_req *r;
 
 	cds_list_for_each_entry(r, &en->requests, node) {
-		if (r->endpoint && hsh_wide_equal(r->content, content))
+		if (r->endpoint && hsh128_equal(r->content, content))
 			return r;
 	}
 	return NULL;
 }
 
 /* Hash of the endpoint to which this entry sent the content; 0: none. */
-static uint64_t endpoint_of(void *arg, struct hsh_wide content)
+static uint64_t endpoint_of(void *arg, struct hsh128 content)
 {
 	const struct edge_req *r = find_in_flight(arg, content);
 
@@ -332,7 +332,7 @@
 {
 	char content[33];
 
-	hsh_wide_hex(row->content, content);
+	hsh128_hex(row->content, content);
 	snprintf(out, size, "%s%s", EDGE_FATAL_PREFIX, content);
 }
 
@@ -409,9 +409,9 @@
 			    size_t len)
 {
 	JSN_AUTO *o = jsn_parse(value, len);
-	struct hsh_wide content;
+	struct hsh128 content;
 
-	if (!o || !hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content)) {
+	if (!o || !hsh128_parse(key + strlen(EDGE_FATAL_PREFIX), &content)) {
 		edge_log_unreadable(en, key, "not a quarantine record");
 		return;
 	}
@@ -423,17 +423,17 @@
 
 void edge_fatal_record_lost(struct edge *en, const char *key)
 {
-	struct hsh_wide content;
+	struct hsh128 content;
 
-	if (hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
+	if (hsh128_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
 		fatal_unrecorded(&en->fatal, content);
 }
 
 void edge_fatal_record_deleted(struct edge *en, const char *key)
 {
-	struct hsh_wide content;
+	struct hsh128 content;
 
-	if (!hsh_wide_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
+	if (!hsh128_parse(key + strlen(EDGE_FATAL_PREFIX), &content))
 		return;
 	en->fatal_from_others = true;
 	fatal_lifted(&en->fatal, content, edge_now(en));
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -22,7 +22,7 @@
 #include <ev.h>
 #include <urcu/list.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 #include "base/jlog.h"
 #include "base/met.h"
 #include "base/rnd.h"
@@ -202,9 +202,9 @@
 	bool fatal_from_others;	     /* applying gossip or records */
 
 	struct prs prs;
-	struct fade arrivals; /* callers' requests per second */
-	struct rank ranking;  /* scratch space, too large for the stack */
-	int gossip_fd;	      /* UDP socket */
+	struct decay_sum arrivals; /* callers' requests per second */
+	struct rank ranking;	   /* scratch space, too large for the stack */
+	int gossip_fd;		   /* UDP socket */
 	ev_io gossip_watcher;
 	uint32_t seq;		   /* of the last datagram sent */
 	int64_t loads_averaged_ms; /* last average of peers' loads */
@@ -241,7 +241,7 @@
 	struct attempt attempt;
 	struct rq rq; /* what was sent, and what may be sent again */
 	/* Hash of account, host, path and body: the same for all retries. */
-	struct hsh_wide content;
+	struct hsh128 content;
 	bool awaiting_config; /* in edge.awaiting_config */
 	bool parked;	      /* in edge.parked, until a probe has ended */
 	bool isolated; /* suspect: sent to an endpoint without other requests */
@@ -595,11 +595,11 @@
 }
 
 /* Adds the log field that is the same for all attempts with this content. */
-static inline void edge_log_content(struct edge *en, struct hsh_wide content)
+static inline void edge_log_content(struct edge *en, struct hsh128 content)
 {
 	char digits[33];
 
-	hsh_wide_hex(content, digits);
+	hsh128_hex(content, digits);
 	jlog_str(en->log, "content", digits);
 }
 
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -159,7 +159,8 @@
 	r->store_era = sto_era(en->store);
 	r->cfg_version = en->force.cfg ? en->force.cfg->version : 0;
 	r->cfg_confirmed_age_ms = age == INT64_MAX ? -1 : age;
-	r->requests_per_s = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
+	r->requests_per_s =
+		decay_sum_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
 	say_demands(en, r, now);
 	say_loads(en, r);
 	say_services(en, r, now);
@@ -346,10 +347,10 @@
  */
 static void smooth_loads(struct edge *en, int64_t now)
 {
-	const double left =
-		en->conf->policy.mean_reports
-			? fade_left(TOLD_LOAD_MS, en->loads_averaged_ms, now)
-			: 0;
+	const double left = en->conf->policy.mean_reports
+				    ? decay_fraction(TOLD_LOAD_MS,
+						     en->loads_averaged_ms, now)
+				    : 0;
 	struct flt_endpoint *e;
 
 	en->loads_averaged_ms = now;
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -84,7 +84,7 @@
 static double load_of_all(const struct edge *en, int64_t now)
 {
 	const struct prs_peer *p;
-	double sum = fade_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
+	double sum = decay_sum_at(&en->arrivals, EDGE_ARRIVAL_RATE_MS, now);
 
 	cds_list_for_each_entry(p, &en->prs.peers, node) {
 		if (p->last && prs_alive(p, now))
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -206,8 +206,8 @@
 
 	buf_fmt(&head, "%s\n%s\n%s", r->account ? r->account->name : "",
 		r->attempt.host, hmsg_url(m));
-	r->content = hsh_wide_join(hsh_wide(head.data, head.len),
-				   hsh_wide(buf_cstr(body), body->len));
+	r->content = hsh128_combine(hsh128(head.data, head.len),
+				    hsh128(buf_cstr(body), body->len));
 }
 
 /* What the request costs of its account's limit: requests or tokens. */
@@ -457,8 +457,8 @@
 	r->verify_timer.data = r;
 	cds_list_add_tail(&r->node, &en->requests);
 	met_inc(en->m.requests);
-	fade_add(&en->arrivals, 1000.0 / EDGE_ARRIVAL_RATE_MS,
-		 EDGE_ARRIVAL_RATE_MS, r->arrived_ms);
+	decay_sum_add(&en->arrivals, 1000.0 / EDGE_ARRIVAL_RATE_MS,
+		      EDGE_ARRIVAL_RATE_MS, r->arrived_ms);
 	if (en->wire->decode_request(&c->parse.msg, &r->attempt, &e)) {
 		edge_req_answer(r, 400, e.text, -1);
 		return;
--- a/lib/fleet/flt.c
+++ b/lib/fleet/flt.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 #include "base/hsh.h"
 
 /*
@@ -267,7 +267,7 @@
 
 static double decay_factor(const struct flt_endpoint *e, int64_t now)
 {
-	return fade_left(OUTCOME_DECAY_MS, e->decayed_ms, now);
+	return decay_fraction(OUTCOME_DECAY_MS, e->decayed_ms, now);
 }
 
 static void back_off(struct flt_endpoint *e, int64_t now)
--- a/lib/io/htc.c
+++ b/lib/io/htc.c
@@ -26,7 +26,7 @@
 	size_t wire_len;       /* bytes of the current request */
 	uint64_t sent_before;  /* ioc.sent when the call started */
 	unsigned served;
-	bool skip_response; /* ignore this response: 1xx or of an earlier call */
+	bool skip_response; /* skip this response: 1xx or of an earlier call */
 	bool no_reuse;	    /* a response was skipped: do not reuse */
 	bool closing;	    /* the peer announced that it closes */
 	bool in_idle_list;  /* linked in htc_peer.idle */
--- a/lib/limit/acct.c
+++ b/lib/limit/acct.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "base/buf.h"
-#include "base/fade.h"
+#include "base/decay.h"
 
 /*
  * Demand fades with this time constant: long enough to see several requests
@@ -83,7 +83,7 @@
 
 double acct_demand(const struct acct *a, int64_t now)
 {
-	return a->demand * fade_left(DEMAND_MS, a->at_ms, now);
+	return a->demand * decay_fraction(DEMAND_MS, a->at_ms, now);
 }
 
 /* Entries that callers are named at least (lib/member/named). */
--- a/lib/limit/again.c
+++ b/lib/limit/again.c
@@ -22,7 +22,7 @@
 			 unsigned entries, int64_t now)
 {
 	const double requests =
-		fade_at(&b->requests, (double)l->window_ms, now);
+		decay_sum_at(&b->requests, (double)l->window_ms, now);
 
 	return l->slack * READY_PART / entries +
 	       l->ratio * SAVED_PART * requests;
@@ -49,7 +49,7 @@
 		int64_t now)
 {
 	advance(b, l, entries, now);
-	fade_add(&b->requests, 1, (double)l->window_ms, now);
+	decay_sum_add(&b->requests, 1, (double)l->window_ms, now);
 	b->level += l->ratio * RATIO_PART;
 }
 
--- a/lib/limit/again.h
+++ b/lib/limit/again.h
@@ -11,7 +11,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 
 struct again_limits {
 	double ratio; /* repeats for each request */
@@ -21,7 +21,7 @@
 
 struct again {
 	double level;
-	struct fade requests; /* of about the last window */
+	struct decay_sum requests; /* of about the last window */
 	int64_t at_ms;
 	bool started;
 };
--- a/lib/member/gsp.c
+++ b/lib/member/gsp.c
@@ -141,7 +141,7 @@
 	return TRUE;
 }
 
-static bool_t xdr_wide(XDR *x, struct hsh_wide *h)
+static bool_t xdr_wide(XDR *x, struct hsh128 *h)
 {
 	return xdr_uint64_t(x, &h->hi) && xdr_uint64_t(x, &h->lo);
 }
--- a/lib/model/svc.c
+++ b/lib/model/svc.c
@@ -159,13 +159,13 @@
 
 void svc_on_sent(struct svc *s, double tokens_to_prefill, int64_t now)
 {
-	fade_add(&s->prefill_rate, tokens_to_prefill * 1000 / RATE_MS, RATE_MS,
-		 now);
+	decay_sum_add(&s->prefill_rate, tokens_to_prefill * 1000 / RATE_MS,
+		      RATE_MS, now);
 }
 
 double svc_prefill_tokens_per_s(const struct svc *s, int64_t now)
 {
-	return fade_at(&s->prefill_rate, RATE_MS, now);
+	return decay_sum_at(&s->prefill_rate, RATE_MS, now);
 }
 
 void svc_on_ttft(struct svc *s, const struct svc_state *at, double took_ms,
--- a/lib/model/svc.h
+++ b/lib/model/svc.h
@@ -24,7 +24,7 @@
 #include <stdint.h>
 #include <urcu/list.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 #include "model/rls.h"
 
 #define SVC_NAME 64 /* buffer size of a service's name, bytes */
@@ -61,7 +61,7 @@
 	double run_ms;		       /* mean time from send to end */
 	double run_samples;	       /* answers that run_ms is based on */
 	double typical_prefill_tokens; /* mean tokens to prefill of a request */
-	struct fade prefill_rate;      /* of the requests sent, tokens/s */
+	struct decay_sum prefill_rate; /* of the requests sent, tokens/s */
 	/* Values that were logged last, see svc_should_log(). */
 	double logged_prefill_ms, logged_run_ms;
 };
--- a/lib/request/fatal.c
+++ b/lib/request/fatal.c
@@ -48,7 +48,7 @@
 	return false;
 }
 
-enum fatal_verdict fatal_ask(struct fatal *f, struct hsh_wide content,
+enum fatal_verdict fatal_ask(struct fatal *f, struct hsh128 content,
 			     bool under_way, int64_t now)
 {
 	const struct fatal_row *row = fatal_find(f, content);
@@ -86,7 +86,7 @@
 	*d = row->doubts[--row->nr_doubts];
 }
 
-struct fatal_row *fatal_broke(struct fatal *f, struct hsh_wide content,
+struct fatal_row *fatal_broke(struct fatal *f, struct hsh128 content,
 			      uint64_t endpoint, int64_t ran_ms, bool looking,
 			      int64_t now)
 {
@@ -144,8 +144,8 @@
 static unsigned weight_of(const struct fatal *f, int64_t ran_ms, int64_t now)
 {
 	const double per_ms =
-		fade_at(&f->ended, RATE_MS, now) /
-		(fade_at(&f->ran_ms, RATE_MS, now) + RATE_PRIOR_MS);
+		decay_sum_at(&f->ended, RATE_MS, now) /
+		(decay_sum_at(&f->ran_ms, RATE_MS, now) + RATE_PRIOR_MS);
 	const double chance = per_ms * (double)(ran_ms + 1);
 
 	if (chance >= 1)
@@ -157,7 +157,7 @@
 
 void fatal_ran(struct fatal *f, int64_t ran_ms, int64_t now)
 {
-	fade_add(&f->ran_ms, (double)ran_ms, RATE_MS, now);
+	decay_sum_add(&f->ran_ms, (double)ran_ms, RATE_MS, now);
 }
 
 /*
@@ -190,7 +190,7 @@
 				 ? FATAL_WEIGHT_SHARED
 				 : weight_of(f, d->ran_ms, now);
 		if (b.most < FATAL_STRONG_ENDS)
-			fade_add(&f->ended, 1, RATE_MS, now);
+			decay_sum_add(&f->ended, 1, RATE_MS, now);
 		drop_doubt(row, d);
 		row->known = fatal_is_convicted(row);
 		if (!fatal_add_end(f, row, endpoint, weight, now))
@@ -255,7 +255,7 @@
 	f->vt->changed(f->arg, row, FATAL_CLEARED, 0);
 }
 
-void fatal_whole(struct fatal *f, struct hsh_wide content, int64_t now)
+void fatal_whole(struct fatal *f, struct hsh128 content, int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
@@ -268,7 +268,7 @@
 
 /* ---- What lasts ---- */
 
-void fatal_recorded(struct fatal *f, struct hsh_wide content, int64_t true_ms,
+void fatal_recorded(struct fatal *f, struct hsh128 content, int64_t true_ms,
 		    int64_t now)
 {
 	struct fatal_row *row = fatal_get(f, content, now);
@@ -281,7 +281,7 @@
 		fatal_tell_end(f, row, false, 0);
 }
 
-void fatal_unrecorded(struct fatal *f, struct hsh_wide content)
+void fatal_unrecorded(struct fatal *f, struct hsh128 content)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
@@ -289,7 +289,7 @@
 		row->lost = true;
 }
 
-void fatal_lifted(struct fatal *f, struct hsh_wide content, int64_t now)
+void fatal_lifted(struct fatal *f, struct hsh128 content, int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
--- a/lib/request/fatal.h
+++ b/lib/request/fatal.h
@@ -22,7 +22,7 @@
 #include <stdint.h>
 #include <urcu/list.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 #include "base/hsh.h"
 #include "base/tab.h"
 
@@ -80,7 +80,7 @@
 struct fatal_row {
 	struct cds_list_head node; /* in fatal.rows, the last changed last */
 	UT_hash_handle by_content;
-	struct hsh_wide content;
+	struct hsh128 content;
 	char route[FATAL_NAME], account[FATAL_NAME]; /* "": not known here */
 	struct fatal_end ends[FATAL_MAX_ENDS];
 	bool known; /* convicted before the end that is being told */
@@ -115,16 +115,17 @@
 	struct cds_list_head rows;
 	struct fatal_row *table;
 	unsigned count;
-	struct fade ended;  /* sends that met an end without a strong suspect */
-	struct fade ran_ms; /* time in which sends were under way */
-	unsigned turn;	    /* of the rows that are told in turn */
+	struct decay_sum
+		ended; /* sends that met an end without a strong suspect */
+	struct decay_sum ran_ms; /* time in which sends were under way */
+	unsigned turn;		 /* of the rows that are told in turn */
 };
 
 void fatal_init(struct fatal *f, const struct fatal_vtable *vt, void *arg);
 void fatal_free(struct fatal *f);
 
 /* NULL: nothing is known of this content. */
-struct fatal_row *fatal_find(struct fatal *f, struct hsh_wide content);
+struct fatal_row *fatal_find(struct fatal *f, struct hsh128 content);
 
 /* Ends that are held against it. */
 unsigned fatal_count(const struct fatal_row *row);
@@ -141,14 +142,14 @@
 };
 
 /* `under_way`: another attempt of this entry with this content is. */
-enum fatal_verdict fatal_ask(struct fatal *f, struct hsh_wide content,
+enum fatal_verdict fatal_ask(struct fatal *f, struct hsh128 content,
 			     bool under_way, int64_t now_ms);
 
 /*
  * A send of it broke off, after `ran_ms`, at an endpoint that is not known to
  * leave. `looking`: fatal_ended, fatal_lives or fatal_unsure follows.
  */
-struct fatal_row *fatal_broke(struct fatal *f, struct hsh_wide content,
+struct fatal_row *fatal_broke(struct fatal *f, struct hsh128 content,
 			      uint64_t endpoint, int64_t ran_ms, bool looking,
 			      int64_t now_ms);
 
@@ -168,12 +169,12 @@
 void fatal_unsure(struct fatal *f, uint64_t endpoint);
 
 /* A whole answer to it came. */
-void fatal_whole(struct fatal *f, struct hsh_wide content, int64_t now_ms);
+void fatal_whole(struct fatal *f, struct hsh128 content, int64_t now_ms);
 
 /* ---- What entries tell each other ---- */
 
 struct fatal_told {
-	struct hsh_wide content;
+	struct hsh128 content;
 	unsigned nr_ends;
 	struct {
 		uint64_t endpoint;
@@ -185,7 +186,7 @@
 };
 
 /* Where this entry has the content under way; 0: nowhere. */
-typedef uint64_t (*fatal_run_at)(void *arg, struct hsh_wide content);
+typedef uint64_t (*fatal_run_at)(void *arg, struct hsh128 content);
 
 /*
  * Fills `out` with at most `max` rows: first those that are news to others,
@@ -202,14 +203,14 @@
 /* ---- What lasts ---- */
 
 /* The store has a record of the conviction, made at that time of day. */
-void fatal_recorded(struct fatal *f, struct hsh_wide content, int64_t true_ms,
+void fatal_recorded(struct fatal *f, struct hsh128 content, int64_t true_ms,
 		    int64_t now_ms);
 
 /* The store lost the record; the conviction stands. */
-void fatal_unrecorded(struct fatal *f, struct hsh_wide content);
+void fatal_unrecorded(struct fatal *f, struct hsh128 content);
 
 /* The record was taken out of the store: the request may be sent again. */
-void fatal_lifted(struct fatal *f, struct hsh_wide content, int64_t now_ms);
+void fatal_lifted(struct fatal *f, struct hsh128 content, int64_t now_ms);
 
 /* Forgets what is too old to matter. */
 void fatal_expire(struct fatal *f, int64_t now_ms);
--- a/lib/request/fatal_internal.h
+++ b/lib/request/fatal_internal.h
@@ -18,7 +18,7 @@
 #define FATAL_WEIGHT_CONVICTS 600
 
 /* The row of a content, made on first use. */
-struct fatal_row *fatal_get(struct fatal *f, struct hsh_wide content,
+struct fatal_row *fatal_get(struct fatal *f, struct hsh128 content,
 			    int64_t now_ms);
 void fatal_drop(struct fatal *f, struct fatal_row *row);
 
--- a/lib/request/fatal_rows.c
+++ b/lib/request/fatal_rows.c
@@ -17,7 +17,7 @@
 
 /* uthash's macros count as fifty statements of ours. */
 /* NOLINTNEXTLINE(readability-function-size) */
-struct fatal_row *fatal_find(struct fatal *f, struct hsh_wide content)
+struct fatal_row *fatal_find(struct fatal *f, struct hsh128 content)
 {
 	struct fatal_row *row = NULL;
 
@@ -83,8 +83,7 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size) */
-struct fatal_row *fatal_get(struct fatal *f, struct hsh_wide content,
-			    int64_t now)
+struct fatal_row *fatal_get(struct fatal *f, struct hsh128 content, int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
--- a/tests/test_fatal.c
+++ b/tests/test_fatal.c
@@ -29,7 +29,7 @@
 
 static const struct fatal_vtable counting = { count_news };
 
-static const struct hsh_wide A = { 1, 1 }, B = { 2, 2 };
+static const struct hsh128 A = { 1, 1 }, B = { 2, 2 };
 
 static void start(struct fatal *f)
 {
@@ -38,8 +38,8 @@
 }
 
 /* The content is under way at an endpoint that ends. */
-static void end_under(struct fatal *f, struct hsh_wide content,
-		      uint64_t endpoint, int64_t now)
+static void end_under(struct fatal *f, struct hsh128 content, uint64_t endpoint,
+		      int64_t now)
 {
 	fatal_broke(f, content, endpoint, 0, true, now);
 	fatal_ended(f, endpoint, now);
@@ -173,7 +173,7 @@
 	fatal_free(&f);
 }
 
-static uint64_t runs_nowhere(void *arg, struct hsh_wide content)
+static uint64_t runs_nowhere(void *arg, struct hsh128 content)
 {
 	(void)arg;
 	(void)content;
@@ -227,7 +227,7 @@
 	for (i = 11; i < 14; i++)
 		end_under(&f, A, i, 0);
 	for (i = 0; i < 3 * FATAL_MAX_ROWS; i++)
-		end_under(&f, (struct hsh_wide){ 100 + i, 0 }, 1000 + i, 1);
+		end_under(&f, (struct hsh128){ 100 + i, 0 }, 1000 + i, 1);
 	CU_ASSERT_EQUAL(f.count, FATAL_MAX_ROWS);
 	CU_ASSERT_EQUAL(fatal_ask(&f, A, false, 1), FATAL_NEVER);
 	fatal_free(&f);
@@ -288,7 +288,7 @@
 };
 
 struct sim_run {
-	struct hsh_wide content;
+	struct hsh128 content;
 	int entry, at, sends;
 	int64_t sent_ms, end_ms;
 	bool fatal, live;
@@ -322,7 +322,7 @@
 	unsigned asked, wrongly;
 } sim;
 
-static bool is_guilty(struct hsh_wide c)
+static bool is_guilty(struct hsh128 c)
 {
 	return c.hi == 1;
 }
@@ -388,13 +388,13 @@
 	return best;
 }
 
-static bool under_way(int entry, struct hsh_wide c)
+static bool under_way(int entry, struct hsh128 c)
 {
 	int i;
 
 	for (i = 0; i < sim.nr_runs; i++) {
 		if (sim.runs[i].live && sim.runs[i].entry == entry &&
-		    hsh_wide_equal(sim.runs[i].content, c))
+		    hsh128_equal(sim.runs[i].content, c))
 			return true;
 	}
 	return false;
@@ -411,7 +411,7 @@
 	return sim.nr_runs < MAX_RUNS ? &sim.runs[sim.nr_runs++] : NULL;
 }
 
-static void send(int entry, struct hsh_wide c, int sends)
+static void send(int entry, struct hsh128 c, int sends)
 {
 	const enum fatal_verdict v =
 		fatal_ask(&sim.f[entry], c, under_way(entry, c), sim.now);
@@ -527,14 +527,14 @@
 	}
 }
 
-static uint64_t where(void *arg, struct hsh_wide c)
+static uint64_t where(void *arg, struct hsh128 c)
 {
 	const int entry = *(int *)arg;
 	int i;
 
 	for (i = 0; i < sim.nr_runs; i++) {
 		if (sim.runs[i].live && sim.runs[i].entry == entry &&
-		    hsh_wide_equal(sim.runs[i].content, c))
+		    hsh128_equal(sim.runs[i].content, c))
 			return sim.at[sim.runs[i].at].hash;
 	}
 	return 0;
@@ -595,7 +595,7 @@
 	for (i = 0; i < GUILTY; i++) {
 		if (sim.record_ms[i] && sim.now >= sim.record_ms[i])
 			fatal_recorded(&sim.f[entry],
-				       (struct hsh_wide){ 1, (uint64_t)i }, 1,
+				       (struct hsh128){ 1, (uint64_t)i }, 1,
 				       sim.now);
 	}
 }
@@ -610,7 +610,7 @@
 			continue;
 		for (k = 0; k < sim.s.entries; k++)
 			fatal_recorded(&sim.f[k],
-				       (struct hsh_wide){ 1, (uint64_t)i }, 1,
+				       (struct hsh128){ 1, (uint64_t)i }, 1,
 				       sim.now);
 	}
 }
@@ -626,16 +626,16 @@
 
 	if (happens(60)) {
 		sim.asked++;
-		send(any_entry(), (struct hsh_wide){ 3, ++sim.next }, 0);
+		send(any_entry(), (struct hsh128){ 3, ++sim.next }, 0);
 	}
 	if (happens(40)) {
 		sim.asked++;
 		send(any_entry(),
-		     (struct hsh_wide){ 2, rnd_below(&sim.rnd, POPULAR) }, 0);
+		     (struct hsh128){ 2, rnd_below(&sim.rnd, POPULAR) }, 0);
 	}
 	for (i = 0; sim.s.guilty && i < GUILTY; i++) {
 		if (happens(4))
-			send(any_entry(), (struct hsh_wide){ 1, i }, 0);
+			send(any_entry(), (struct hsh128){ 1, i }, 0);
 	}
 }
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -74,7 +74,7 @@
 
 		CU_ASSERT_PTR_NULL(
 			pf_wire()->decode_config(bad[i], strlen(bad[i]), &e));
-		CU_ASSERT(err_is(&e));
+		CU_ASSERT(err_is_set(&e));
 	}
 }
 
@@ -265,7 +265,7 @@
 
 		parse(&p, true, bad[i]);
 		CU_ASSERT_EQUAL(pf_wire()->decode_request(&p.msg, &a, &e), -1);
-		CU_ASSERT(err_is(&e));
+		CU_ASSERT(err_is_set(&e));
 		hparse_free(&p);
 	}
 }
@@ -498,7 +498,7 @@
 			text.data[rnd_below(&rnd, (uint32_t)text.len)] =
 				(char)rnd_below(&rnd, 256);
 		c = w->decode_config(text.data, text.len, &e);
-		CU_ASSERT(c != NULL || err_is(&e));
+		CU_ASSERT(c != NULL || err_is_set(&e));
 		cfg_put(c);
 		w->decode_endpoint("servers/x", text.data, text.len, &info, &e);
 		memset(&a, 0, sizeof(a));
--- a/tests/test_prs.c
+++ b/tests/test_prs.c
@@ -84,8 +84,8 @@
 			       0.01);
 	CU_ASSERT_EQUAL(incoming.store_era, 3);
 	CU_ASSERT_EQUAL(incoming.nr_fatal, 1);
-	CU_ASSERT(hsh_wide_equal(incoming.fatal[0].content,
-				 (struct hsh_wide){ 7, 8 }));
+	CU_ASSERT(hsh128_equal(incoming.fatal[0].content,
+			       (struct hsh128){ 7, 8 }));
 	CU_ASSERT_EQUAL(incoming.fatal[0].run_at, 13);
 	CU_ASSERT_EQUAL(incoming.fatal[0].ends[0].age_ms, 1500);
 	CU_ASSERT_EQUAL(incoming.fatal[0].ends[1].weight, 30);
