--- a/lib/base/buf.h
+++ b/lib/base/buf.h
@@ -1,5 +1,7 @@
 /*
- * buf: a growable byte string that always ends in NUL.
+ * buf: buffer. A growable byte string that is always followed by a NUL.
+ *
+ * The process aborts when memory is exhausted. Initialize with BUF_INIT.
  */
 #ifndef BUF_H
 #define BUF_H
@@ -8,8 +10,8 @@
 
 struct buf {
 	char *data; /* owned; NULL while empty */
-	size_t len;
-	size_t cap;
+	size_t len; /* bytes without the NUL */
+	size_t cap; /* bytes allocated */
 };
 
 #define BUF_INIT           \
@@ -17,37 +19,48 @@
 		NULL, 0, 0 \
 	}
 
-/* Clean-up attribute: frees the buffer when it goes out of scope. */
+/* Declares a buffer that is freed when it goes out of scope. */
 #define BUF_AUTO __attribute__((cleanup(buf_free))) struct buf
 
+/* Frees the memory; the buffer is empty and can be used again. */
 void buf_free(struct buf *b);
+
+/* Empties the buffer and keeps its memory. */
 void buf_reset(struct buf *b);
+
+/* These append `len` bytes, a C string, or text formatted as by printf. */
 void buf_add(struct buf *b, const void *data, size_t len);
 void buf_str(struct buf *b, const char *s);
 void buf_fmt(struct buf *b, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
-/* Appends `s` as a JSON string literal with its quotes. */
+/* Appends `s` as a JSON string literal, escaped and with quotes. */
 void buf_json(struct buf *b, const char *s);
 
-/* Gives back room that is not used. */
+/* Shrinks the allocation to the content. */
 void buf_trim(struct buf *b);
 
-/* Drops the first `n` bytes. */
+/* Removes the first `n` bytes; `n` is at most `len`. */
 void buf_shift(struct buf *b, size_t n);
 
 /* The content as a C string; "" while empty. Valid until the next change. */
 const char *buf_cstr(const struct buf *b);
 
-/* malloc and strdup that stop the process when memory is exhausted. */
+/*
+ * Like calloc (zeroed memory) and strdup, but abort the process when memory is
+ * exhausted. To be freed with free.
+ */
 void *mem_new(size_t size);
 char *mem_dup(const char *s);
 
-/* Clean-up attribute for memory from malloc. */
+/* Attribute of a pointer variable: free() when it goes out of scope. */
 #define MEM_AUTO __attribute__((cleanup(mem_free_ptr)))
 void mem_free_ptr(void *pp);
 
-/* Copies with truncation and always terminates; returns dst. */
+/*
+ * Copies a C string to `dst` of `size` bytes, truncated if it is longer, and
+ * always terminated. `size` is positive. Returns `dst`.
+ */
 char *str_copy(char *dst, const char *src, size_t size);
 
 #endif
--- a/lib/base/clk.h
+++ b/lib/base/clk.h
@@ -1,9 +1,10 @@
 /*
- * clk: the clock as an interface, so that tests pass time in.
+ * clk: clock. An interface, so that tests can provide the time.
  *
- * Decision modules do not read a clock; they take `int64_t now_ms`. The
- * shells read it here. Monotonic time orders events within a process;
- * wall-clock time is only compared with births in grants.
+ * Modules that make decisions do not read a clock; they take `int64_t now_ms`.
+ * The code around them, which does I/O, reads it here. Monotonic time orders
+ * events within a process; wall-clock time is only compared with the creation
+ * times in grants.
  */
 #ifndef CLK_H
 #define CLK_H
@@ -16,7 +17,7 @@
 struct clk_vtable {
 	void (*monotonic)(const struct clk *c, struct timespec *out);
 	void (*wall)(const struct clk *c, struct timespec *out);
-	/* Monotonic, and runs on while the machine is suspended. */
+	/* Monotonic, and includes the time while the machine is suspended. */
 	void (*boot)(const struct clk *c, struct timespec *out);
 };
 
@@ -24,7 +25,7 @@
 	const struct clk_vtable *vt;
 };
 
-/* The clock of the machine; static storage, never freed. */
+/* The system's clocks; static storage, not to be freed. */
 const struct clk *clk_real(void);
 
 /* Milliseconds of the monotonic clock. */
@@ -37,15 +38,15 @@
 int64_t clk_wall_ms(const struct clk *c);
 
 /*
- * Milliseconds of the clock that counts the time in which the machine was
- * suspended: leases and ages are judged by it, since others went on.
+ * Milliseconds of the boot clock, which includes the time while the machine is
+ * suspended. For leases and ages: time passes for other machines meanwhile.
  */
 int64_t clk_boot_ms(const struct clk *c);
 
-/* Sleeps; for shells only. */
+/* Blocks the thread. Not for modules that make decisions. */
 void clk_sleep_ms(int64_t ms);
 
-/* The absolute CLOCK_MONOTONIC time `ms` from now, for timed waits. */
+/* Absolute CLOCK_MONOTONIC time `ms` milliseconds from now, for timed waits. */
 struct timespec clk_deadline(int64_t ms);
 
 #endif
--- a/lib/base/decay.h
+++ b/lib/base/decay.h
@@ -1,8 +1,9 @@
 /*
- * decay_sum: a sum in which what is older counts less, by a time constant.
+ * decay: sum with exponential decay. After the time constant, 1/e of an
+ * addition remains.
  *
- * Adding 1/T for each event, with the time constant T, gives the rate of the
- * events over about the last T.
+ * Adding 1/T for each event, with time constant T, gives the rate of the events
+ * over about the last T.
  */
 #ifndef DECAY_H
 #define DECAY_H
@@ -10,25 +11,27 @@
 #include <math.h>
 #include <stdint.h>
 
+/* All zero: an empty sum. */
 struct decay_sum {
-	double value;
-	int64_t at_ms;
+	double value;  /* at the time at_ms */
+	int64_t at_ms; /* time of the last addition */
 };
 
-/* The part that is left at `now_ms` of what counted whole at `at_ms`. */
+/* Fraction of an addition at `at_ms` that remains at `now_ms`: 1 to 0. */
 static inline double decay_fraction(double constant_ms, int64_t at_ms,
 				    int64_t now_ms)
 {
 	return exp(-(double)(now_ms - at_ms) / constant_ms);
 }
 
-/* The value at `now_ms`, not before the last addition. */
+/* The sum at `now_ms`, which must not be before the last addition. */
 static inline double decay_sum_at(const struct decay_sum *f, double constant_ms,
 				  int64_t now_ms)
 {
 	return f->value * decay_fraction(constant_ms, f->at_ms, now_ms);
 }
 
+/* Adds `amount` at `now_ms`. `constant_ms` must be the same in all calls. */
 static inline void decay_sum_add(struct decay_sum *f, double amount,
 				 double constant_ms, int64_t now_ms)
 {
--- a/lib/base/jlog.c
+++ b/lib/base/jlog.c
@@ -9,13 +9,16 @@
 
 #include "base/buf.h"
 
-/* Bytes that wait for the reader; about 1,500 lines. */
+/* Buffered bytes that the reader has not taken; about 1,500 lines. */
 #define MAX_PENDING_BYTES 262144
 
-/* Lines a second that are kept; a busy entry writes some 150. */
+/* Rate limit, in lines per second; a busy entry writes about 150. */
 #define MAX_LINES_PER_S 2000
 
-/* Lines are written in batches: a write for each would cost more than it. */
+/*
+ * Interval of writes, in seconds. A write per line would cost more than
+ * composing the line.
+ */
 #define FLUSH_S 0.25
 
 struct jlog {
@@ -26,7 +29,7 @@
 	char instance[64];
 	struct buf pending;
 	struct buf line;
-	bool suppressed; /* the present line is below the level */
+	bool suppressed; /* the current line is more verbose than `level` */
 	ev_timer flush;
 	uint64_t dropped, dropped_reported;
 	int64_t second;
@@ -41,7 +44,7 @@
 	while (at < l->pending.len) {
 		n = write(l->fd, l->pending.data + at, l->pending.len - at);
 		if (n <= 0)
-			break; /* the reader is full or gone: kept, bounded */
+			break; /* reader slow or closed: keep the rest */
 		at += (size_t)n;
 	}
 	if (at == l->pending.len)
--- a/lib/base/jlog.h
+++ b/lib/base/jlog.h
@@ -1,10 +1,9 @@
 /*
- * jlog: structured log lines, one JSON object each, on an event loop.
+ * jlog: JSON log. Structured log lines, one JSON object each, on an event loop.
  *
- * A line is put together in memory and written in batches without blocking.
- * When the reader does not keep up, or lines come faster than the bound,
- * lines are dropped, counted, and the count is told in the next line that is
- * kept.
+ * Lines are buffered in memory and written in batches without blocking. If the
+ * reader is too slow or the rate limit is exceeded, lines are dropped and
+ * counted; the next line that is kept has the count as `lines_dropped`.
  */
 #ifndef JLOG_H
 #define JLOG_H
@@ -24,16 +23,20 @@
 
 struct jlog;
 
-/* Writes to `fd`, which is made non-blocking. */
+/*
+ * Creates a log that writes to `fd`, which is made non-blocking and stays the
+ * caller's. Lines more verbose than `level` are suppressed. `instance` is
+ * copied into each line. Free with jlog_free.
+ */
 struct jlog *jlog_create(struct ev_loop *loop, const struct clk *clk, int fd,
 			 enum jlog_level level, const char *instance);
 
-/* Writes what is held, as far as the reader takes it, and frees. */
+/* Writes the buffered lines as far as possible without blocking, and frees. */
 void jlog_free(struct jlog *l);
 
 /*
- * One line: begin it with its event, add fields, end it. Between begin and
- * end no other line may begin. Names are literals; values are escaped.
+ * Writes a line: begin it with its event, add fields, end it. Lines cannot be
+ * nested. Names are not escaped and must be literals; values are escaped.
  */
 void jlog_begin(struct jlog *l, enum jlog_level level, const char *event);
 void jlog_str(struct jlog *l, const char *name, const char *value);
@@ -42,7 +45,7 @@
 void jlog_bool(struct jlog *l, const char *name, bool value);
 void jlog_end(struct jlog *l);
 
-/* Lines that were dropped since the start. */
+/* Number of lines dropped since jlog_create. */
 uint64_t jlog_dropped(const struct jlog *l);
 
 #endif
--- a/lib/base/jsn.c
+++ b/lib/base/jsn.c
@@ -5,10 +5,13 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Depth allowed in texts: ours nest 5 deep, more is a mistake or an attack. */
+/*
+ * Limit of the nesting depth. The texts of this project nest 5 deep; many more
+ * are a mistake or an attack.
+ */
 #define JSN_MAX_DEPTH 24
 
-/* Text of a path from the root, such as "models[0].name". */
+/* Bytes of a path from the root, such as "models[0].name", with NUL. */
 #define JSN_PATH_MAX 256
 
 struct jsn_reader {
@@ -77,7 +80,7 @@
 	} while (depth > 0 && *s->p);
 }
 
-/* Moves to the value named by one step of a path; false if missing. */
+/* Moves to the value of an object's member; false if there is none. */
 static bool scan_member(struct scan *s, const char *name, size_t len)
 {
 	scan_space(s);
@@ -192,8 +195,8 @@
 	return ret;
 }
 
-__attribute__((format(printf, 2, 3))) static int fault(struct jsn_reader *r,
-						       const char *fmt, ...)
+__attribute__((format(printf, 2, 3))) static int fail(struct jsn_reader *r,
+						      const char *fmt, ...)
 {
 	va_list ap;
 	int ret;
@@ -230,17 +233,16 @@
 	const char *s;
 
 	if (!json_object_is_type(v, json_type_string))
-		return fault(r, "a string is expected");
+		return fail(r, "a string is expected");
 	s = json_object_get_string(v);
 	if (strlen(s) != (size_t)json_object_get_string_len(v))
-		return fault(r, "the string has a NUL character inside");
+		return fail(r, "the string has a NUL character inside");
 	if (strlen(s) >= f->size)
-		return fault(r, "longer than %zu characters", f->size - 1);
+		return fail(r, "longer than %zu characters", f->size - 1);
 	if (!pattern_ok(f->pattern, s))
-		return fault(r,
-			     f->pattern == JSN_HEX
-				     ? "hex digits 0-9 a-f are expected"
-				     : "a name of a-z 0-9 - . _ is expected");
+		return fail(r, f->pattern == JSN_HEX
+				       ? "hex digits 0-9 a-f are expected"
+				       : "a name of a-z 0-9 - . _ is expected");
 	memcpy(dst, s, strlen(s) + 1);
 	return 0;
 }
@@ -253,12 +255,12 @@
 	const char *unit = f->unit ? f->unit : "";
 
 	if (f->type == JSN_INT && !whole)
-		return fault(r, "a whole number is expected");
+		return fail(r, "a whole number is expected");
 	if (!whole && !json_object_is_type(v, json_type_double))
-		return fault(r, "a number is expected");
+		return fail(r, "a number is expected");
 	if (!(d >= f->min && d <= f->max))
-		return fault(r, "%g is out of range: %g to %g%s%s", d, f->min,
-			     f->max, *unit ? " " : "", unit);
+		return fail(r, "%g is out of range: %g to %g%s%s", d, f->min,
+			    f->max, *unit ? " " : "", unit);
 	if (f->type == JSN_INT)
 		*(int64_t *)(void *)dst = json_object_get_int64(v);
 	else
@@ -274,7 +276,7 @@
 	int i;
 
 	if (!json_object_is_type(v, json_type_string))
-		return fault(r, "a string is expected");
+		return fail(r, "a string is expected");
 	s = json_object_get_string(v);
 	for (i = 0; f->names[i]; i++) {
 		const size_t n = strlen(known);
@@ -286,7 +288,7 @@
 		snprintf(known + n, sizeof(known) - n, "%s%s", i ? ", " : "",
 			 f->names[i]);
 	}
-	return fault(r, "\"%.40s\" is not one of: %s", s, known);
+	return fail(r, "\"%.40s\" is not one of: %s", s, known);
 }
 
 static int read_object(struct jsn_reader *r, const struct jsn_field *fields,
@@ -295,28 +297,29 @@
 static int read_list(struct jsn_reader *r, const struct jsn_field *f,
 		     struct json_object *v, char *target)
 {
-	const size_t keep = strlen(r->path);
+	const size_t path_len = strlen(r->path);
 	size_t n, i;
 
 	if (!json_object_is_type(v, json_type_array))
-		return fault(r, "a list is expected");
+		return fail(r, "a list is expected");
 	n = json_object_array_length(v);
 	if ((double)n < f->min || (double)n > f->max)
-		return fault(r, "%zu elements: %g to %g are allowed", n, f->min,
-			     f->max);
+		return fail(r, "%zu elements: %g to %g are allowed", n, f->min,
+			    f->max);
 	for (i = 0; i < n; i++) {
 		struct json_object *item = json_object_array_get_idx(v, i);
 		char *dst = target + f->at + i * f->stride;
 		int ret;
 
-		snprintf(r->path + keep, sizeof(r->path) - keep, "[%zu]", i);
+		snprintf(r->path + path_len, sizeof(r->path) - path_len,
+			 "[%zu]", i);
 		if (f->type == JSN_STRLIST)
 			ret = read_str(r, f, item, dst);
 		else
 			ret = read_object(r, f->fields, item, dst);
 		if (ret)
 			return ret;
-		r->path[keep] = '\0';
+		r->path[path_len] = '\0';
 	}
 	*(size_t *)(void *)(target + f->count_at) = n;
 	return 0;
@@ -335,7 +338,7 @@
 		return read_num(r, f, v, dst);
 	case JSN_BOOL:
 		if (!json_object_is_type(v, json_type_boolean))
-			return fault(r, "true or false is expected");
+			return fail(r, "true or false is expected");
 		*(bool *)(void *)dst = json_object_get_boolean(v);
 		return 0;
 	case JSN_ENUM:
@@ -362,26 +365,26 @@
 static int read_object(struct jsn_reader *r, const struct jsn_field *fields,
 		       struct json_object *o, char *target)
 {
-	const size_t keep = strlen(r->path);
+	const size_t path_len = strlen(r->path);
 	const struct jsn_field *f;
 
 	if (!json_object_is_type(o, json_type_object))
-		return fault(r, "an object is expected");
+		return fail(r, "an object is expected");
 	json_object_object_foreach(o, name, value)
 	{
 		f = find_field(fields, name);
-		snprintf(r->path + keep, sizeof(r->path) - keep, "%s%.60s",
-			 keep ? "." : "", name);
+		snprintf(r->path + path_len, sizeof(r->path) - path_len,
+			 "%s%.60s", path_len ? "." : "", name);
 		if (!f)
-			return fault(r, "no such field");
+			return fail(r, "no such field");
 		if (read_field(r, f, value, target))
 			return -1;
-		r->path[keep] = '\0';
+		r->path[path_len] = '\0';
 	}
 	for (f = fields; f->name; f++) {
 		if (!f->optional &&
 		    !json_object_object_get_ex(o, f->name, NULL))
-			return fault(r, "\"%s\" is missing", f->name);
+			return fail(r, "\"%s\" is missing", f->name);
 	}
 	return 0;
 }
@@ -389,8 +392,9 @@
 /* ---- Whole texts ---- */
 
 /*
- * json-c keeps the last of two members with one name, so an operator's first
- * line would be ignored without a word; looked for in the text instead.
+ * Finds a duplicate name in an object and leaves `s` at it. json-c keeps the
+ * last of such members without an error, so an operator's first value would be
+ * ignored silently. Only the first 128 names of an object are compared.
  */
 static bool has_duplicate(struct scan *s, int depth)
 {
@@ -442,7 +446,7 @@
 	return false;
 }
 
-static bool only_space(const char *p)
+static bool only_space_left(const char *p)
 {
 	struct scan s = { p, p };
 
@@ -471,11 +475,11 @@
 			e, ERR_INVALID, "%s:%d:%d: %s", what, line, col,
 			why == json_tokener_continue ||
 					why == json_tokener_error_parse_eof
-				? "the text ends too early"
+				? "unexpected end of text"
 				: json_tokener_error_desc(why));
 	}
 	json_tokener_free(tok);
-	if (off < strlen(text) && !only_space(text + off)) {
+	if (off < strlen(text) && !only_space_left(text + off)) {
 		offset_to_line(text, off, &line, &col);
 		json_object_put(o);
 		return err_set(e, ERR_INVALID,
@@ -487,15 +491,15 @@
 		offset_to_line(text, (size_t)(s.p - text), &line, &col);
 		json_object_put(o);
 		return err_set(e, ERR_INVALID,
-			       "%s:%d:%d: this name stands twice in its object",
-			       what, line, col);
+			       "%s:%d:%d: duplicate name in its object", what,
+			       line, col);
 	}
 	ret = read_object(&r, fields, o, target);
 	json_object_put(o);
 	return ret;
 }
 
-/* ---- Replies of outside systems ---- */
+/* ---- Responses of external systems ---- */
 
 struct json_object *jsn_parse(const char *text, size_t len)
 {
--- a/lib/base/jsn.h
+++ b/lib/base/jsn.h
@@ -1,11 +1,11 @@
 /*
- * jsn: JSON with comments, read into structs by a table of fields.
+ * jsn: JSON, with comments, read into structs according to a table of fields.
  *
- * A table names every field that may stand in an object, its type, range and
- * where it goes. Reading checks the whole text and reports the first fault
- * with line and column: unknown names, missing names, wrong types, values out
- * of range, duplicate or trailing text. Nothing is half-read: on an error the
- * target's content is unspecified and must not be used.
+ * The table lists every field that an object may have, with its type, range and
+ * offset in the struct. Reading validates the whole text and reports the first
+ * error with line and column: unknown, missing and duplicate names, wrong
+ * types, values out of range, trailing text. After an error, the content of the
+ * target is unspecified and must not be used.
  */
 #ifndef JSN_H
 #define JSN_H
@@ -18,7 +18,7 @@
 #include "base/err.h"
 
 enum jsn_type {
-	JSN_STR,     /* char[size]; letters per `pattern` */
+	JSN_STR,     /* char[size]; characters by `pattern` */
 	JSN_INT,     /* int64_t in [min, max] */
 	JSN_DBL,     /* double in [min, max] */
 	JSN_BOOL,    /* bool */
@@ -39,17 +39,17 @@
 	enum jsn_type type;
 	size_t at;	  /* offset in the target struct */
 	size_t size;	  /* strings: bytes with the NUL */
-	double min, max;  /* numbers: range; lists: bounds on the count */
-	const char *unit; /* numbers: the unit named in errors */
-	bool optional;
+	double min, max;  /* numbers: range; lists: range of the count */
+	const char *unit; /* numbers: unit, for error messages */
+	bool optional;	  /* may be missing */
 	enum jsn_pattern pattern;
-	const char *const *names;	/* enums, ended by NULL */
+	const char *const *names; /* enums: names of the values, then NULL */
 	const struct jsn_field *fields; /* objects and lists */
-	size_t stride;			/* lists: bytes of one element */
-	size_t count_at;		/* lists: offset of a size_t */
+	size_t stride;			/* lists: size of an element, bytes */
+	size_t count_at; /* lists: offset of a size_t, the count */
 };
 
-/* Ends a table of fields. */
+/* Terminates a table of fields. */
 #define JSN_END                                                              \
 	{                                                                    \
 		NULL, JSN_STR, 0, 0, 0, 0, NULL, false, JSN_ANY, NULL, NULL, \
@@ -57,32 +57,44 @@
 	}
 
 /*
- * Reads `text` into `target` by `fields`. `what` names the text in errors
- * (a file name). Optional fields that are missing leave the target as it is,
- * so defaults are set before. Returns 0, or -1 with ERR_INVALID.
+ * Reads `text` into the struct `target` according to `fields`. `what` names the
+ * text in error messages (a file name). Optional fields that are missing leave
+ * the target unchanged, so set defaults before. Returns 0, or -1 with
+ * ERR_INVALID.
  */
 int jsn_read(const char *what, const char *text, const struct jsn_field *fields,
 	     void *target, struct err *e);
 
 /*
- * Reports a fault found after reading (a name that does not exist, say) at
- * the position of `path`, such as "accounts[2].name". Returns -1.
+ * Sets *e to an error that was found after reading, such as a reference to a
+ * name that does not exist, with the position of `path`, such as
+ * "accounts[2].name". Returns -1.
  */
 int jsn_error_at(const char *what, const char *text, const char *path,
 		 struct err *e, const char *fmt, ...)
 	__attribute__((format(printf, 5, 6)));
 
-/* The line and column (from 1) of the value at `path`; false if not there. */
+/*
+ * Finds the line and column (from 1) of the value at `path`. If it does not
+ * exist, returns false and the position where the search ended.
+ */
 bool jsn_locate(const char *text, const char *path, int *line, int *col);
 
-/* Parses a whole text without comments' help for messages; NULL if wrong. */
+/*
+ * Parses a text of `len` bytes without reporting positions. Returns NULL if it
+ * is not valid JSON. Free with jsn_put, json_object_put or JSN_AUTO.
+ */
 struct json_object *jsn_parse(const char *text, size_t len);
 
-/* Clean-up attribute for json-c objects. */
+/* Declares a json-c object that is released when it goes out of scope. */
 #define JSN_AUTO __attribute__((cleanup(jsn_put))) struct json_object
 void jsn_put(struct json_object **o);
 
-/* Lenient look-ups in replies of outside systems; defaults when missing. */
+/*
+ * Lenient look-ups in responses of external systems: `dflt` (jsn_get: NULL,
+ * jsn_len: 0) if the member is missing or of another type. `o` may be NULL.
+ * Strings and objects belong to `o`.
+ */
 const char *jsn_str(struct json_object *o, const char *name, const char *dflt);
 int64_t jsn_int(struct json_object *o, const char *name, int64_t dflt);
 double jsn_dbl(struct json_object *o, const char *name, double dflt);
--- a/lib/base/log.c
+++ b/lib/base/log.c
@@ -8,15 +8,15 @@
 #include <time.h>
 
 /*
- * log4c keeps its categories in one table per process, so this file follows
- * it: one level for all areas, fixed before the first thread starts.
+ * Global, because log4c has one table of categories per process. One level for
+ * all areas, set before the first thread starts.
  */
 static enum log_level max_level = LOG_LEVEL_WARN;
 
 /*
- * log4c looks categories up in a hash table that it changes without a lock:
- * two threads that log for the first time at once crashed inside it (found
- * by the thread sanitizer).
+ * log4c adds categories to its hash table without a lock: two threads that
+ * logged for the first time concurrently crashed in it (found with
+ * ThreadSanitizer).
  */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 
@@ -48,7 +48,7 @@
 	return line;
 }
 
-/* log4c's own stream appenders prefix or buffer; this one only writes. */
+/* Unlike log4c's stream appenders, adds no prefix and does not buffer. */
 static int append_stderr(log4c_appender_t *appender,
 			 const log4c_logging_event_t *ev)
 {
--- a/lib/base/log.h
+++ b/lib/base/log.h
@@ -1,8 +1,8 @@
 /*
- * log: structured lines through log4c, one for each decision.
+ * log: log lines through log4c, one per decision, to stderr.
  *
- * A line is `key=value` pairs; values with spaces are quoted. Categories are
- * marldock.NAME; the level is set once, from the settings.
+ * Callers write `key=value` pairs and quote values that have spaces. The log4c
+ * category is marldock.AREA. The level is set once, from the settings.
  */
 #ifndef LOG_H
 #define LOG_H
@@ -14,11 +14,18 @@
 	LOG_LEVEL_DEBUG
 };
 
-/* Must come before any line. `level`: error, warn, info or debug. */
+/*
+ * Must be called before log_line, and before threads start. `level`: error,
+ * warn, info or debug; otherwise warn. Returns 0, or -1 if log4c cannot be
+ * initialized.
+ */
 int log_open(const char *level);
 void log_close(void);
 
-/* `area` names the duty, such as "route" or "member". */
+/*
+ * Writes a line unless `level` is suppressed. `area` names the module or duty,
+ * such as "route" or "member". Can be called by any thread.
+ */
 void log_line(enum log_level level, const char *area, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
--- a/lib/base/met.c
+++ b/lib/base/met.c
@@ -24,7 +24,10 @@
 	return met_register(m, name, help, "gauge");
 }
 
-/* From a plain call's few milliseconds to the longest stream's deadline. */
+/*
+ * From the few milliseconds of a call to a plain service to the longest
+ * deadline of a stream.
+ */
 const int met_bounds_ms[MET_BUCKETS] = { 5,   10,  25,	 50,   100,  250,
 					 500, 800, 1200, 2500, 5000, 12000 };
 
--- a/lib/base/met.h
+++ b/lib/base/met.h
@@ -1,8 +1,10 @@
 /*
- * met: counters and gauges of one process, in Prometheus text.
+ * met: metrics. Counters, gauges and histograms of one process, in the
+ * Prometheus text format.
  *
- * Counters are registered at start-up, before threads begin, and are then
- * plain atomics. The registry is a context object: no hidden globals.
+ * Metrics are registered at start-up, before threads start; from then on they
+ * are atomics that any thread may change. The registry is an object of the
+ * caller, all zero at first; there is no global state.
  */
 #ifndef MET_H
 #define MET_H
@@ -13,26 +15,27 @@
 
 #include "base/buf.h"
 
-#define MET_MAX_METRICS \
-	96 /* counters of one program; raise when one is added */
+/* Counters and gauges of one program; raise it if more are needed. */
+#define MET_MAX_METRICS 96
 
 typedef atomic_llong met_value;
 
 /*
- * A histogram of times in milliseconds, in the buckets of met_bounds_ms and
- * one beyond; registered and printed like the counters.
+ * Histograms of times in milliseconds. met_bounds_ms has the inclusive upper
+ * bounds of the buckets; one more bucket counts the times above.
  */
-#define MET_BUCKETS 12
-#define MET_MAX_HISTOGRAMS 8
+#define MET_BUCKETS 12	     /* without the last */
+#define MET_MAX_HISTOGRAMS 8 /* of one program */
 extern const int met_bounds_ms[MET_BUCKETS];
 
 struct met_histogram {
 	const char *name;
 	const char *help;
-	met_value buckets[MET_BUCKETS + 1]; /* each alone, not summed up */
+	met_value buckets[MET_BUCKETS + 1]; /* not cumulative */
 	met_value sum_ms;
 };
 
+/* The registry. */
 struct met {
 	struct {
 		const char *name;
@@ -45,7 +48,11 @@
 	size_t nr_histograms;
 };
 
-/* Registers a counter; `name` and `help` must be literals. */
+/*
+ * Register a counter or a gauge with value 0. `name`, without the prefix
+ * marldock_, and `help` are not copied. The value is valid as long as the
+ * registry. More than MET_MAX_METRICS fail an assert.
+ */
 met_value *met_counter(struct met *m, const char *name, const char *help);
 met_value *met_gauge(struct met *m, const char *name, const char *help);
 
@@ -69,11 +76,14 @@
 	return atomic_load_explicit(v, memory_order_relaxed);
 }
 
+/* Registers a histogram, like met_counter. */
 struct met_histogram *met_histogram(struct met *m, const char *name,
 				    const char *help);
+
+/* Counts one time, in milliseconds. */
 void met_observe(struct met_histogram *h, int64_t ms);
 
-/* Appends the text exposition format. */
+/* Appends all metrics in the Prometheus text exposition format. */
 void met_print(struct met *m, struct buf *out);
 
 #endif
--- a/lib/base/pub.h
+++ b/lib/base/pub.h
@@ -1,12 +1,14 @@
 /*
- * pub: publishing pointers that are read without locks, by liburcu.
+ * pub: publication of pointers that are read without locks (RCU, by liburcu).
  *
- * Readers look between pub_read_lock and pub_read_unlock; a writer puts a new
- * object in place and frees the old one after pub_wait.
+ * Readers call pub_get between pub_read_lock and pub_read_unlock, and use the
+ * object only until then. A writer publishes a new object with pub_set and
+ * frees the old one after pub_wait. Several writers need a
+ * lock of their own.
  *
- * The thread sanitizer cannot see the order that RCU guarantees, so its build
- * uses a lock in its place: then it checks what matters, that nobody reads
- * outside of a read section and nothing is freed within one.
+ * ThreadSanitizer does not know the ordering that RCU guarantees, so its build
+ * uses a read-write lock instead. It then detects reads outside a read section
+ * and objects that are freed within one.
  */
 #ifndef PUB_H
 #define PUB_H
--- a/lib/base/ring.c
+++ b/lib/base/ring.c
@@ -59,12 +59,12 @@
 
 void *ring_pop(struct ring *r, int64_t wait_ms)
 {
-	const struct timespec until = clk_deadline(wait_ms);
+	const struct timespec deadline = clk_deadline(wait_ms);
 	void *item = NULL;
 
 	pthread_mutex_lock(&r->lock);
 	while (!r->count && !r->closed && wait_ms > 0) {
-		if (pthread_cond_timedwait(&r->not_empty, &r->lock, &until))
+		if (pthread_cond_timedwait(&r->not_empty, &r->lock, &deadline))
 			break;
 	}
 	if (r->count) {
--- a/lib/base/ring.h
+++ b/lib/base/ring.h
@@ -1,8 +1,9 @@
 /*
- * ring: a bounded queue of pointers between threads, one per duty.
+ * ring: ring buffer. A bounded FIFO queue of pointers between threads, one per
+ * duty.
  *
- * A full ring is an outcome for the producer (ring_push returns false) and
- * never a block or a silent drop.
+ * If the ring is full, ring_push returns false; it neither blocks nor drops an
+ * element silently. All functions but ring_free can be called by any thread.
  */
 #ifndef RING_H
 #define RING_H
@@ -13,17 +14,22 @@
 
 struct ring;
 
-/* A ring for `cap` (positive) elements; free with ring_free. */
+/* Creates a ring for `cap` (positive) elements; free with ring_free. */
 struct ring *ring_create(size_t cap);
+
+/* Frees the ring, not its elements. No thread may use it any more. */
 void ring_free(struct ring *r);
 
-/* Queues `item` (not NULL; ownership passes). False: full or closed. */
+/* Appends `item` (not NULL), whose ownership passes. False: full or closed. */
 bool ring_push(struct ring *r, void *item);
 
-/* Takes the oldest; waits at most `wait_ms`. NULL: none came, or closed. */
+/*
+ * Removes the oldest element; ownership passes. Waits up to `wait_ms` for one.
+ * NULL: time-out, or the ring is closed and empty.
+ */
 void *ring_pop(struct ring *r, int64_t wait_ms);
 
-/* Wakes all waiters; later pushes fail, pops still empty the ring. */
+/* Closes the ring and wakes all waiters. Elements in it can still be popped. */
 void ring_close(struct ring *r);
 bool ring_closed(struct ring *r);
 
--- a/lib/base/rnd.c
+++ b/lib/base/rnd.c
@@ -9,7 +9,7 @@
 	r->state = seed * 0x9e3779b97f4a7c15ULL + 0x2545f4914f6cdd1dULL;
 }
 
-/* The splitmix64 step: small state, passes the usual statistical tests. */
+/* splitmix64: small state, passes the usual statistical tests. */
 uint64_t rnd_next(struct rnd *r)
 {
 	uint64_t z = (r->state += 0x9e3779b97f4a7c15ULL);
--- a/lib/base/tab.h
+++ b/lib/base/tab.h
@@ -1,7 +1,8 @@
 /*
- * tab: uthash with our hash function. Included in its place everywhere, so
- * that tables agree on it, and its own one, fifty statements long, stands in
- * no function of ours.
+ * tab: table. uthash with hsh_bytes as its hash function. To be included
+ * instead of uthash.h, so that all tables use the same hash. The default hash
+ * function of uthash is a macro that adds fifty statements to each function
+ * that uses it.
  */
 #ifndef TAB_H
 #define TAB_H
--- a/lib/base/zip.c
+++ b/lib/base/zip.c
@@ -3,8 +3,8 @@
 #include <zlib.h>
 
 /*
- * The first byte of the zlib format: deflate with a window of 32 KiB. No JSON
- * text begins with it.
+ * First byte of the zlib format: deflate with a 32 KiB window. It is 'x', with
+ * which no JSON text begins.
  */
 #define FIRST_BYTE 0x78
 
@@ -13,7 +13,10 @@
 	uLongf n = compressBound(len);
 	MEM_AUTO char *packed = mem_new(n);
 
-	/* The quickest level: keys and values repeat, a better one saves 8%. */
+	/*
+	 * The fastest level: keys and values repeat, and higher levels save
+	 * only 8% more.
+	 */
 	if (compress2((Bytef *)packed, &n, (const Bytef *)data, len,
 		      Z_BEST_SPEED) != Z_OK ||
 	    n >= len)
--- a/lib/base/zip.h
+++ b/lib/base/zip.h
@@ -1,5 +1,5 @@
 /*
- * zip: bytes in fewer bytes, for what one entry sends to many others.
+ * zip: compression, for messages that one entry sends to many others.
  */
 #ifndef ZIP_H
 #define ZIP_H
@@ -10,17 +10,17 @@
 #include "base/buf.h"
 
 /*
- * Appends `data` to `out` packed, in the zlib format. Returns false, with
- * `out` unchanged, if that would not be shorter.
+ * Compresses `data` and appends it to `out` in the zlib format. Returns false,
+ * with `out` unchanged, if the result would not be shorter.
  */
 bool zip_pack(const char *data, size_t len, struct buf *out);
 
-/* True if these bytes may be packed ones; JSON never is. */
+/* True if the bytes may be output of zip_pack; always false for JSON. */
 bool zip_is_packed(const char *data, size_t len);
 
 /*
- * Appends what was packed to `out`. Returns false, with `out` unchanged, if
- * the bytes are damaged or would be more than `max`.
+ * Decompresses output of zip_pack and appends it to `out`. Returns false, with
+ * `out` unchanged, if it is corrupt or has more than `max` bytes decompressed.
  */
 bool zip_unpack(const char *data, size_t len, size_t max, struct buf *out);
 
--- a/tests/test_base.c
+++ b/tests/test_base.c
@@ -1,4 +1,7 @@
-/* JSON with positions, documents, settings, rings, server-sent events. */
+/*
+ * JSON errors with positions, configuration documents, settings, rings,
+ * server-sent events, messages of the engine, metrics, compression.
+ */
 #include <pthread.h>
 #include <string.h>
 
@@ -65,9 +68,9 @@
 	expect_error("{\"count\": 1, \"name\": \"a\"} x",
 		     "f:1:27: text after the end of the object");
 	expect_error("{\"count\": 1, \"count\": 2, \"name\": \"a\"}",
-		     "f:1:14: this name stands twice in its object");
-	expect_error("{\"count\": 1, ", "f:1:14: the text ends too early");
-	expect_error("", "f:1:1: the text ends too early");
+		     "f:1:14: duplicate name in its object");
+	expect_error("{\"count\": 1, ", "f:1:14: unexpected end of text");
+	expect_error("", "f:1:1: unexpected end of text");
 	expect_error("[]", "f:1:1: an object is expected");
 }
 
@@ -85,7 +88,7 @@
 	CU_ASSERT_EQUAL(s.share, 0.5);
 }
 
-static char *edited(const char *from, const char *to)
+static char *edit_example(const char *from, const char *to)
 {
 	struct err e = ERR_INIT;
 	MEM_AUTO char *text =
@@ -102,7 +105,7 @@
 
 static void expect_doc_error(const char *from, const char *to, const char *part)
 {
-	MEM_AUTO char *text = edited(from, to);
+	MEM_AUTO char *text = edit_example(from, to);
 	struct err e = ERR_INIT;
 	struct doc *d = doc_parse("doc", text, &e);
 
@@ -149,7 +152,7 @@
 	p = doc_find_plain(d, "quota");
 	CU_ASSERT(doc_repeatable(p, "GET", "/balance"));
 	CU_ASSERT(!doc_repeatable(p, "POST", "/transfer"));
-	/* What the document does not name may not be repeated. */
+	/* Only calls that the document lists are safe to repeat. */
 	CU_ASSERT(!doc_repeatable(p, "GET", "/other"));
 	CU_ASSERT(!doc_repeatable(p, "POST", "/balance"));
 	doc_free(d);
@@ -183,7 +186,7 @@
 
 	CU_ASSERT(ring_push(r, &a));
 	CU_ASSERT(ring_push(r, &b));
-	/* Full is an outcome, not a wait. */
+	/* A push on a full ring fails without waiting. */
 	CU_ASSERT(!ring_push(r, &a));
 	CU_ASSERT_PTR_EQUAL(ring_pop(r, 0), &a);
 	ring_close(r);
@@ -195,13 +198,13 @@
 
 /* ---- Events ---- */
 
-struct seen {
+struct event_log {
 	char text[256];
 };
 
-static bool on_event(const struct sse_event *ev, void *arg)
+static bool log_event(const struct sse_event *ev, void *arg)
 {
-	struct seen *s = arg;
+	struct event_log *s = arg;
 	const size_t n = strlen(s->text);
 
 	snprintf(s->text + n, sizeof(s->text) - n, "[%s|%s|%s]", ev->id,
@@ -209,7 +212,7 @@
 	return strcmp(ev->data, "stop") != 0;
 }
 
-/* The same events whatever the pieces in which the bytes arrive. */
+/* The events are the same for every size of the pieces that arrive. */
 static void sse_pieces(void)
 {
 	static const char text[] = "id: 1\ndata: a\n\n: note\r\nevent: x\r\n"
@@ -219,7 +222,7 @@
 	size_t piece, at;
 
 	for (piece = 1; piece <= len; piece++) {
-		struct seen s = { "" };
+		struct event_log s = { "" };
 		struct sse p;
 		bool go = true;
 
@@ -227,7 +230,7 @@
 		for (at = 0; at < len && go; at += piece)
 			go = sse_feed(&p, text + at,
 				      len - at < piece ? len - at : piece,
-				      on_event, &s);
+				      log_event, &s);
 		CU_ASSERT(!go);
 		CU_ASSERT_STRING_EQUAL(s.text, "[1|message|a][1|x|b\nc]"
 					       "[1|message|stop]");
@@ -291,7 +294,7 @@
 				       "marldock_x_total 3\n");
 }
 
-static void histograms_sum_up(void)
+static void histogram_buckets_are_cumulative(void)
 {
 	static struct met m;
 	struct met_histogram *h = met_histogram(&m, "t_ms", "a time");
@@ -312,12 +315,12 @@
 	CU_ASSERT_PTR_NOT_NULL(strstr(out.data, "t_ms_count 3\n"));
 }
 
-/* What an entry sends to many others comes back as it was, or not at all. */
-static void packed_bytes_come_back(void)
+/* Decompression restores the bytes, and fails for corrupt or too long data. */
+static void compressed_bytes_are_restored(void)
 {
 	BUF_AUTO plain = BUF_INIT;
 	BUF_AUTO packed = BUF_INIT;
-	BUF_AUTO back = BUF_INIT;
+	BUF_AUTO restored = BUF_INIT;
 	int i;
 
 	for (i = 0; i < 60; i++)
@@ -327,34 +330,36 @@
 	CU_ASSERT_FATAL(zip_pack(plain.data, plain.len, &packed));
 	CU_ASSERT(packed.len < plain.len / 4);
 	CU_ASSERT(zip_is_packed(packed.data, packed.len));
-	CU_ASSERT(zip_unpack(packed.data, packed.len, plain.len, &back));
-	CU_ASSERT_EQUAL(back.len, plain.len);
-	CU_ASSERT_FALSE(memcmp(back.data, plain.data, plain.len));
-	buf_reset(&back);
+	CU_ASSERT(zip_unpack(packed.data, packed.len, plain.len, &restored));
+	CU_ASSERT_EQUAL(restored.len, plain.len);
+	CU_ASSERT_FALSE(memcmp(restored.data, plain.data, plain.len));
+	buf_reset(&restored);
 	CU_ASSERT_FALSE(
-		zip_unpack(packed.data, packed.len, plain.len - 1, &back));
+		zip_unpack(packed.data, packed.len, plain.len - 1, &restored));
 	CU_ASSERT_FALSE(
-		zip_unpack(packed.data, packed.len / 2, plain.len, &back));
+		zip_unpack(packed.data, packed.len / 2, plain.len, &restored));
 	packed.data[packed.len / 2] ^= 0x55;
-	CU_ASSERT_FALSE(zip_unpack(packed.data, packed.len, plain.len, &back));
-	CU_ASSERT_EQUAL(back.len, 0);
-	/* What would grow is left as it is. */
-	CU_ASSERT_FALSE(zip_pack("ab", 2, &back));
+	CU_ASSERT_FALSE(
+		zip_unpack(packed.data, packed.len, plain.len, &restored));
+	CU_ASSERT_EQUAL(restored.len, 0);
+	/* Data that would grow is not compressed. */
+	CU_ASSERT_FALSE(zip_pack("ab", 2, &restored));
 }
 
 static const struct unit_test tests[] = {
-	{ "histograms sum up", histograms_sum_up },
+	{ "histogram buckets are cumulative",
+	  histogram_buckets_are_cumulative },
 	{ "json errors have positions", json_errors },
 	{ "json comments and defaults", json_comments },
 	{ "document errors", document_errors },
 	{ "document look-ups", document_lookups },
 	{ "settings", settings_errors },
 	{ "a ring is bounded", ring_bounds },
-	{ "events in any pieces", sse_pieces },
+	{ "server-sent events in pieces of any size", sse_pieces },
 	{ "engine events", engine_events },
 	{ "engine orders", engine_orders },
 	{ "metrics text", metrics_text },
-	{ "packed bytes come back", packed_bytes_come_back },
+	{ "compressed bytes are restored", compressed_bytes_are_restored },
 };
 
 UNIT_MAIN("base", tests)
