--- a/lib/base/decay.h
+++ b/lib/base/decay.h
@@ -25,18 +25,18 @@
 }
 
 /* The sum at `now_ms`, which must not be before the last addition. */
-static inline double decay_sum_at(const struct decay_sum *f, double constant_ms,
+static inline double decay_sum_at(const struct decay_sum *d, double constant_ms,
 				  int64_t now_ms)
 {
-	return f->value * decay_fraction(constant_ms, f->at_ms, now_ms);
+	return d->value * decay_fraction(constant_ms, d->at_ms, now_ms);
 }
 
 /* Adds `amount` at `now_ms`. `constant_ms` must be the same in all calls. */
-static inline void decay_sum_add(struct decay_sum *f, double amount,
+static inline void decay_sum_add(struct decay_sum *d, double amount,
 				 double constant_ms, int64_t now_ms)
 {
-	f->value = decay_sum_at(f, constant_ms, now_ms) + amount;
-	f->at_ms = now_ms;
+	d->value = decay_sum_at(d, constant_ms, now_ms) + amount;
+	d->at_ms = now_ms;
 }
 
 #endif
--- a/lib/base/jsn.h
+++ b/lib/base/jsn.h
@@ -93,7 +93,7 @@
 /*
  * Lenient look-ups in responses of external systems: `dflt` (jsn_get: NULL,
  * jsn_len: 0) if the member is missing or of another type. `o` may be NULL.
- * Strings and objects belong to `o`.
+ * Strings and objects belong to `o`. jsn_int also reads numbers in strings.
  */
 const char *jsn_str(struct json_object *o, const char *name, const char *dflt);
 int64_t jsn_int(struct json_object *o, const char *name, int64_t dflt);
--- a/lib/base/rnd.h
+++ b/lib/base/rnd.h
@@ -28,7 +28,7 @@
 /* An exponentially distributed number with the given mean. */
 double rnd_exp(struct rnd *r, double mean);
 
-/* 64 unpredictable bits (OpenSSL), for seeds and unique names. */
+/* 64 unpredictable bits from the operating system, for seeds and names. */
 uint64_t rnd_secret(void);
 
 #endif
--- a/lib/io/ioc.c
+++ b/lib/io/ioc.c
@@ -72,7 +72,8 @@
 }
 
 /*
- * Returns true if the owner closed the connection in the callback: now freed.
+ * Ends a callback. Frees the connection and returns true if the owner closed it
+ * meanwhile.
  */
 static bool finish_callback(struct ioc *c)
 {
