--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -124,7 +124,7 @@
 	}
 }
 
-static void too_large_head_is_rejected(void)
+static void oversized_head_is_rejected(void)
 {
 	struct parsed got = { 0, 0, BUF_INIT };
 	BUF_AUTO text = BUF_INIT;
@@ -806,7 +806,7 @@
 	{ "a request is parsed in pieces of any size",
 	  request_is_parsed_in_pieces_of_any_size },
 	{ "ambiguous framing is rejected", ambiguous_framing_is_rejected },
-	{ "a too large head is rejected", too_large_head_is_rejected },
+	{ "an oversized head is rejected", oversized_head_is_rejected },
 	{ "hop-by-hop headers are recognized",
 	  hop_by_hop_headers_are_recognized },
 	{ "query parameters are parsed", query_parameters_are_parsed },
