--- a/lib/base/met.c
+++ b/lib/base/met.c
@@ -7,7 +7,7 @@
 {
 	const size_t i = m->count++;
 
-	assert(i < MET_MAX);
+	assert(i < MET_MAX_METRICS);
 	m->rows[i].name = name;
 	m->rows[i].help = help;
 	m->rows[i].type = type;
@@ -24,7 +24,10 @@
 	return met_register(m, name, help, "gauge");
 }
 
-/* From a plain call's few milliseconds to the longest stream's deadline. */
+/*
+ * From the few milliseconds of a call to a plain service to the longest
+ * deadline of a stream.
+ */
 const int met_bounds_ms[MET_BUCKETS] = { 5,   10,  25,	 50,   100,  250,
 					 500, 800, 1200, 2500, 5000, 12000 };
 
@@ -33,7 +36,7 @@
 {
 	struct met_histogram *h = &m->histograms[m->nr_histograms++];
 
-	assert(m->nr_histograms <= MET_HISTOGRAMS);
+	assert(m->nr_histograms <= MET_MAX_HISTOGRAMS);
 	h->name = name;
 	h->help = help;
 	return h;
--- a/lib/io/hsc.c
+++ b/lib/io/hsc.c
@@ -9,20 +9,23 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Bytes of later requests that are held while one is answered. */
-#define MAX_WAITING 65536
+/*
+ * Pipelined bytes after which a connection is not read until the response ends.
+ */
+#define MAX_PIPELINED_BYTES 65536
 
 /*
- * After an answer that ends the connection, so long is waited for the peer
- * to close: closing with unread bytes would reset it, and the answer be lost.
+ * Time for the peer to close after the last response, in milliseconds. Closing
+ * a socket that has unread bytes resets the connection, which can discard the
+ * response before the peer reads it.
  */
 #define LINGER_MS 1000
 
-/* Connections taken in one turn of the loop. */
+/* Connections accepted per iteration of the event loop. */
 #define ACCEPT_BATCH 32
 
-/* A silent caller's machine is noticed after about three seconds. */
-static const struct ioc_patience patience = {
+/* An unreachable client machine is detected after about three seconds. */
+static const struct ioc_timeouts tcp_timeouts = {
 	.user_timeout_ms = 5000,
 	.keepalive_s = 2,
 };
@@ -31,30 +34,30 @@
 {
 	hparse_free(&c->parse);
 	buf_free(&c->body);
-	buf_free(&c->waiting);
+	buf_free(&c->pipelined);
 	free(c);
 }
 
-/* Takes the connection out; `how` closes the socket. */
-static void drop(struct hsc *c, void (*how)(struct ioc *))
+/* Removes the connection from the server; `close_io` closes the socket. */
+static void drop(struct hsc *c, void (*close_io)(struct ioc *))
 {
 	struct hsc_server *s = c->server;
 
-	assert(!c->dead);
+	assert(!c->free_pending);
 	ev_timer_stop(s->loop, &c->timer);
 	ev_timer_stop(s->loop, &c->resume);
-	if (c->state == HSC_ANSWERING)
-		s->nr_answering--;
+	if (c->state == HSC_RESPONDING)
+		s->nr_responding--;
 	cds_list_del(&c->node);
 	s->nr_conns--;
-	how(c->io);
+	close_io(c->io);
 	if (c->in_feed)
-		c->dead = true;
+		c->free_pending = true;
 	else
 		release(c);
 }
 
-static void arm(struct hsc *c, int ms)
+static void set_timer(struct hsc *c, int ms)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
 	if (ms <= 0)
@@ -65,19 +68,19 @@
 
 static void linger(struct hsc *c)
 {
-	if (c->state == HSC_ANSWERING)
-		c->server->nr_answering--;
+	if (c->state == HSC_RESPONDING)
+		c->server->nr_responding--;
 	c->state = HSC_LINGERING;
-	arm(c, LINGER_MS);
+	set_timer(c, LINGER_MS);
 	if (!ioc_pending(c->io))
 		shutdown(c->io->fd, SHUT_WR);
 }
 
-static void refuse(struct hsc *c, enum hsc_fault f)
+static void reject(struct hsc *c, enum hsc_read_error f)
 {
 	BUF_AUTO out = BUF_INIT;
 
-	c->server->vt->fault(c, f, &out);
+	c->server->vt->read_error(c, f, &out);
 	ioc_write(c->io, out.data, out.len);
 	linger(c);
 }
@@ -89,8 +92,8 @@
 	(void)loop;
 	(void)revents;
 	if (c->state == HSC_READING)
-		refuse(c, HSC_SLOW);
-	else if (c->state != HSC_ANSWERING)
+		reject(c, HSC_TIMEOUT);
+	else if (c->state != HSC_RESPONDING)
 		drop(c, ioc_close);
 }
 
@@ -99,15 +102,15 @@
 static int on_head(struct hparse *p)
 {
 	struct hsc *c = p->owner;
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char continue_response[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
-	arm(c, c->limits.body_ms);
+	set_timer(c, c->limits.body_ms);
 	if (p->msg.has_length && p->msg.length > c->limits.body_bytes) {
-		c->too_large = true;
+		c->body_too_large = true;
 		return -1;
 	}
 	if (hmsg_has_token(&p->msg, "Expect", "100-continue"))
-		ioc_write(c->io, go_on, strlen(go_on));
+		ioc_write(c->io, continue_response, strlen(continue_response));
 	return 0;
 }
 
@@ -116,7 +119,7 @@
 	struct hsc *c = p->owner;
 
 	if (c->body.len + len > c->limits.body_bytes) {
-		c->too_large = true;
+		c->body_too_large = true;
 		p->stop = true;
 		return;
 	}
@@ -130,17 +133,17 @@
 
 static const struct hparse_vtable parse_vtable = { on_head, on_body, on_end };
 
-static void begin_answer(struct hsc *c)
+static void begin_response(struct hsc *c)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
-	c->state = HSC_ANSWERING;
-	c->server->nr_answering++;
+	c->state = HSC_RESPONDING;
+	c->server->nr_responding++;
 	if (!c->parse.msg.keep_alive)
 		c->close_after = true;
 	c->server->vt->request(c);
 }
 
-/* Parses bytes until a request is whole. */
+/* Parses bytes until a request is complete. */
 static void feed(struct hsc *c, const char *data, size_t len)
 {
 	enum hparse_result r;
@@ -150,11 +153,11 @@
 		c->server->vt->limits(c->server, &c->limits);
 		c->parse.max_head_bytes = c->limits.header_bytes;
 		c->state = HSC_READING;
-		arm(c, c->limits.header_ms);
+		set_timer(c, c->limits.header_ms);
 	}
 	r = hparse_feed(&c->parse, data, len, &used);
-	if (c->too_large) {
-		refuse(c, HSC_LARGE_BODY);
+	if (c->body_too_large) {
+		reject(c, HSC_BODY_TOO_LARGE);
 		return;
 	}
 	switch (r) {
@@ -162,22 +165,22 @@
 		break;
 	case HPARSE_STOPPED:
 		if (used < len)
-			buf_add(&c->waiting, data + used, len - used);
-		begin_answer(c);
+			buf_add(&c->pipelined, data + used, len - used);
+		begin_response(c);
 		break;
-	case HPARSE_BAD:
-		refuse(c, HSC_BAD);
+	case HPARSE_MALFORMED:
+		reject(c, HSC_MALFORMED);
 		break;
-	case HPARSE_LARGE:
-		refuse(c, HSC_LARGE_HEAD);
+	case HPARSE_HEAD_TOO_LARGE:
+		reject(c, HSC_HEAD_TOO_LARGE);
 		break;
 	}
 }
 
-static void leave_feed(struct hsc *c)
+static void end_feed(struct hsc *c)
 {
 	c->in_feed = false;
-	if (c->dead)
+	if (c->free_pending)
 		release(c);
 }
 
@@ -187,31 +190,31 @@
 
 	if (c->state == HSC_LINGERING)
 		return;
-	if (c->state == HSC_ANSWERING) {
-		if (c->waiting.len + len > MAX_WAITING)
+	if (c->state == HSC_RESPONDING) {
+		if (c->pipelined.len + len > MAX_PIPELINED_BYTES)
 			ioc_pause(io, true);
-		buf_add(&c->waiting, data, len);
+		buf_add(&c->pipelined, data, len);
 		return;
 	}
 	c->in_feed = true;
 	feed(c, data, len);
-	leave_feed(c);
+	end_feed(c);
 }
 
-/* The next request was sent before the last one was answered. */
+/* Parses the requests that were pipelined during the last response. */
 static void on_resume(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct hsc *c = t->data;
-	struct buf held = c->waiting;
+	struct buf pending = c->pipelined;
 
 	(void)loop;
 	(void)revents;
-	c->waiting = (struct buf)BUF_INIT;
+	c->pipelined = (struct buf)BUF_INIT;
 	ioc_pause(c->io, false);
 	c->in_feed = true;
-	feed(c, held.data, held.len);
-	leave_feed(c);
-	buf_free(&held);
+	feed(c, pending.data, pending.len);
+	end_feed(c);
+	buf_free(&pending);
 }
 
 static void on_ended(struct ioc *io, enum ioc_end how)
@@ -219,8 +222,8 @@
 	struct hsc *c = io->owner;
 
 	(void)how;
-	if (c->state == HSC_ANSWERING)
-		c->server->vt->gone(c);
+	if (c->state == HSC_RESPONDING)
+		c->server->vt->disconnected(c);
 	drop(c, ioc_close);
 }
 
@@ -246,7 +249,7 @@
 
 	assert(c);
 	c->server = s;
-	c->io = ioc_adopt(s->loop, fd, &patience, &io_vtable, c);
+	c->io = ioc_adopt(s->loop, fd, &tcp_timeouts, &io_vtable, c);
 	ev_timer_init(&c->timer, on_timer, 0, 0);
 	c->timer.data = c;
 	ev_timer_init(&c->resume, on_resume, 0, 0);
@@ -255,7 +258,7 @@
 	s->vt->limits(s, &c->limits);
 	cds_list_add_tail(&c->node, &s->conns);
 	s->nr_conns++;
-	arm(c, c->limits.idle_ms);
+	set_timer(c, c->limits.idle_ms);
 }
 
 static void on_acceptable(struct ev_loop *loop, ev_io *w, int revents)
@@ -314,13 +317,13 @@
 	s->fd = -1;
 }
 
-void hsc_server_leave(struct hsc_server *s)
+void hsc_server_close_idle(struct hsc_server *s)
 {
 	struct hsc *c, *next;
 
 	stop_listening(s);
 	cds_list_for_each_entry_safe(c, next, &s->conns, node) {
-		if (c->state == HSC_IDLE && !c->waiting.len)
+		if (c->state == HSC_IDLE && !c->pipelined.len)
 			drop(c, ioc_close);
 	}
 }
@@ -337,14 +340,14 @@
 
 void hsc_server_drain(struct hsc_server *s)
 {
-	s->closing = true;
+	s->draining = true;
 }
 
-/* ---- Answering ---- */
+/* ---- Responses ---- */
 
-bool hsc_last(const struct hsc *c)
+bool hsc_must_close(const struct hsc *c)
 {
-	return c->close_after || c->server->closing;
+	return c->close_after || c->server->draining;
 }
 
 void hsc_write(struct hsc *c, const void *data, size_t len)
@@ -354,24 +357,24 @@
 
 void hsc_done(struct hsc *c, bool close)
 {
-	assert(c->state == HSC_ANSWERING);
+	assert(c->state == HSC_RESPONDING);
 	buf_free(&c->body);
 	c->request = NULL;
-	if (close || hsc_last(c)) {
+	if (close || hsc_must_close(c)) {
 		linger(c);
 		return;
 	}
-	c->server->nr_answering--;
+	c->server->nr_responding--;
 	c->state = HSC_IDLE;
 	c->server->vt->limits(c->server, &c->limits);
-	arm(c, c->limits.idle_ms);
-	if (c->waiting.len)
+	set_timer(c, c->limits.idle_ms);
+	if (c->pipelined.len)
 		ev_timer_start(c->server->loop, &c->resume);
 	else
 		ioc_pause(c->io, false);
 }
 
-void hsc_cut(struct hsc *c)
+void hsc_disconnect(struct hsc *c)
 {
 	drop(c, ioc_close);
 }
--- a/lib/io/ioc.c
+++ b/lib/io/ioc.c
@@ -10,12 +10,16 @@
 #include <unistd.h>
 
 /*
- * Bytes read from one connection in one turn of the loop, so that a fast
- * peer does not hold up the others. One stream event is below 300 bytes.
+ * Bytes read from a connection per iteration of the event loop. Bounded, so
+ * that a fast peer does not delay the other connections. One event of a stream
+ * has less than 300 bytes.
  */
 #define READ_BYTES 32768
 
-/* Callers whose opening packet finds a full queue wait for seconds. */
+/*
+ * Connections that wait for accept. If the queue is full, SYN packets are
+ * dropped and the client waits seconds until it retransmits.
+ */
 #define LISTEN_BACKLOG 1024
 
 int ioc_address(const char *text, struct sockaddr_in *out, struct err *e)
@@ -54,7 +58,7 @@
 	ev_io_stop(c->loop, &c->reader);
 	ev_io_stop(c->loop, &c->writer);
 	close(c->fd);
-	if (!c->busy)
+	if (!c->in_callback)
 		release(c);
 }
 
@@ -67,21 +71,24 @@
 	ioc_close(c);
 }
 
-/* Calls back, and frees the connection if the owner closed it meanwhile. */
+/*
+ * Ends a callback. Frees the connection and returns true if the owner closed it
+ * meanwhile.
+ */
 static bool finish_callback(struct ioc *c)
 {
-	c->busy = false;
+	c->in_callback = false;
 	if (!c->closed)
 		return false;
 	release(c);
 	return true;
 }
 
-static void tell_end(struct ioc *c, enum ioc_end how)
+static void notify_ended(struct ioc *c, enum ioc_end how)
 {
-	c->busy = true;
+	c->in_callback = true;
 	c->vt->ended(c, how);
-	c->busy = false;
+	c->in_callback = false;
 	if (c->closed) {
 		release(c);
 		return;
@@ -92,31 +99,31 @@
 static void on_readable(struct ev_loop *loop, ev_io *w, int revents)
 {
 	struct ioc *c = w->data;
-	static char room[READ_BYTES];
+	static char chunk[READ_BYTES];
 	ssize_t n;
 
 	(void)loop;
 	(void)revents;
-	n = recv(c->fd, room, sizeof(room), 0);
+	n = recv(c->fd, chunk, sizeof(chunk), 0);
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		tell_end(c, n == 0 ? IOC_END_CLOSED : IOC_END_RESET);
+		notify_ended(c, n == 0 ? IOC_END_CLOSED : IOC_END_RESET);
 		return;
 	}
-	c->busy = true;
-	c->vt->data(c, room, (size_t)n);
+	c->in_callback = true;
+	c->vt->data(c, chunk, (size_t)n);
 	finish_callback(c);
 }
 
-/* False if the connection broke. */
-static bool push_out(struct ioc *c)
+/* Writes queued bytes until the socket is full. False: the connection broke. */
+static bool write_pending(struct ioc *c)
 {
 	ssize_t n;
 
-	while (c->out_at < c->out.len) {
-		n = send(c->fd, c->out.data + c->out_at, c->out.len - c->out_at,
-			 MSG_NOSIGNAL);
+	while (c->out_written < c->out.len) {
+		n = send(c->fd, c->out.data + c->out_written,
+			 c->out.len - c->out_written, MSG_NOSIGNAL);
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n < 0 && errno == EAGAIN)
@@ -124,23 +131,23 @@
 		if (n < 0)
 			return false;
 		c->sent += (uint64_t)n;
-		c->out_at += (size_t)n;
+		c->out_written += (size_t)n;
 	}
 	buf_free(&c->out);
-	c->out_at = 0;
+	c->out_written = 0;
 	return true;
 }
 
-/* 0, or why the connection could not be established. */
+/* Returns 0, or the errno with which connect failed. */
 static int finish_connect(struct ioc *c)
 {
-	int fault = 0;
-	socklen_t len = sizeof(fault);
+	int error = 0;
+	socklen_t len = sizeof(error);
 
-	if (getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &fault, &len))
-		fault = errno;
-	if (fault)
-		return fault;
+	if (getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &error, &len))
+		error = errno;
+	if (error)
+		return error;
 	c->connecting = false;
 	ev_io_start(c->loop, &c->reader);
 	return 0;
@@ -150,23 +157,23 @@
 {
 	struct ioc *c = w->data;
 	const bool was_connecting = c->connecting;
-	const int fault = was_connecting ? finish_connect(c) : 0;
+	const int error = was_connecting ? finish_connect(c) : 0;
 
 	(void)revents;
-	if (fault) {
-		tell_end(c, fault == ECONNREFUSED || fault == ECONNRESET
-				    ? IOC_END_REFUSED
-				    : IOC_END_NO_WAY);
+	if (error) {
+		notify_ended(c, error == ECONNREFUSED || error == ECONNRESET
+					? IOC_END_REFUSED
+					: IOC_END_UNREACHABLE);
 		return;
 	}
 	if (was_connecting && c->vt->connected) {
-		c->busy = true;
+		c->in_callback = true;
 		c->vt->connected(c);
 		if (finish_callback(c))
 			return;
 	}
-	/* A broken connection shows again, with its end, when it is read. */
-	if (!push_out(c)) {
+	/* After a write error, the next read reports the end. */
+	if (!write_pending(c)) {
 		ev_io_stop(loop, &c->writer);
 		return;
 	}
@@ -175,27 +182,28 @@
 	ev_io_stop(loop, &c->writer);
 	if (!c->vt->drained)
 		return;
-	c->busy = true;
+	c->in_callback = true;
 	c->vt->drained(c);
 	finish_callback(c);
 }
 
-static void set_patience(int fd, const struct ioc_patience *p)
+static void set_tcp_options(int fd, const struct ioc_timeouts *t)
 {
-	const int on = 1, probes = 2, gap_s = 1;
+	const int on = 1, probes = 2, interval_s = 1;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	if (!p)
+	if (!t)
 		return;
-	if (p->user_timeout_ms)
+	if (t->user_timeout_ms)
 		setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-			   &p->user_timeout_ms, sizeof(p->user_timeout_ms));
-	if (!p->keepalive_s)
+			   &t->user_timeout_ms, sizeof(t->user_timeout_ms));
+	if (!t->keepalive_s)
 		return;
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &p->keepalive_s,
-		   sizeof(p->keepalive_s));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &gap_s, sizeof(gap_s));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &t->keepalive_s,
+		   sizeof(t->keepalive_s));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s,
+		   sizeof(interval_s));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
 }
 
@@ -217,7 +225,7 @@
 }
 
 struct ioc *ioc_connect(struct ev_loop *loop, const struct sockaddr_in *to,
-			const struct ioc_patience *p,
+			const struct ioc_timeouts *t,
 			const struct ioc_vtable *vt, void *owner, struct err *e)
 {
 	const int fd =
@@ -225,10 +233,11 @@
 	struct ioc *c;
 
 	if (fd < 0) {
-		err_set(e, ERR_REFUSED, "no socket: %s", strerror(errno));
+		err_set(e, ERR_REFUSED, "cannot open a socket: %s",
+			strerror(errno));
 		return NULL;
 	}
-	set_patience(fd, p);
+	set_tcp_options(fd, t);
 	if (connect(fd, (const struct sockaddr *)to, sizeof(*to)) &&
 	    errno != EINPROGRESS) {
 		err_set(e, ERR_REFUSED, "connect: %s", strerror(errno));
@@ -242,12 +251,12 @@
 }
 
 struct ioc *ioc_adopt(struct ev_loop *loop, int fd,
-		      const struct ioc_patience *p, const struct ioc_vtable *vt,
+		      const struct ioc_timeouts *t, const struct ioc_vtable *vt,
 		      void *owner)
 {
 	struct ioc *c = create(loop, fd, vt, owner);
 
-	set_patience(fd, p);
+	set_tcp_options(fd, t);
 	ev_io_start(loop, &c->reader);
 	return c;
 }
@@ -259,13 +268,13 @@
 	buf_add(&c->out, data, len);
 	if (c->connecting)
 		return;
-	if (!push_out(c) || c->out.len)
+	if (!write_pending(c) || c->out.len)
 		ev_io_start(c->loop, &c->writer);
 }
 
 size_t ioc_pending(const struct ioc *c)
 {
-	return c->out.len - c->out_at;
+	return c->out.len - c->out_written;
 }
 
 void ioc_pause(struct ioc *c, bool paused)
@@ -286,7 +295,8 @@
 	const int on = 1;
 
 	if (fd < 0)
-		return err_set(e, ERR_IO, "no socket: %s", strerror(errno));
+		return err_set(e, ERR_IO, "cannot open a socket: %s",
+			       strerror(errno));
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	if (bind(fd, (const struct sockaddr *)at, sizeof(*at)) ||
 	    listen(fd, LISTEN_BACKLOG)) {
--- a/lib/limit/acct.c
+++ b/lib/limit/acct.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "base/buf.h"
-#include "base/fade.h"
+#include "base/decay.h"
 
 /*
  * Time constant of the exponential decay of demand: long enough to cover
@@ -86,7 +86,7 @@
 
 double acct_demand(const struct acct *a, int64_t now)
 {
-	return a->demand * fade_left(DEMAND_MS, a->at_ms, now);
+	return a->demand * decay_fraction(DEMAND_MS, a->at_ms, now);
 }
 
 /* Minimum number of entries that clients are directed to (lib/member/named). */
--- a/lib/limit/again.c
+++ b/lib/limit/again.c
@@ -23,7 +23,7 @@
 			unsigned entries, int64_t now)
 {
 	const double requests =
-		fade_at(&b->requests, (double)l->window_ms, now);
+		decay_sum_at(&b->requests, (double)l->window_ms, now);
 
 	return l->slack * READY_RATIO / entries +
 	       l->ratio * SAVED_RATIO * requests;
@@ -50,7 +50,7 @@
 		int64_t now)
 {
 	advance(b, l, entries, now);
-	fade_add(&b->requests, 1, (double)l->window_ms, now);
+	decay_sum_add(&b->requests, 1, (double)l->window_ms, now);
 	b->level += l->ratio * EARN_RATIO;
 }
 
--- a/lib/limit/again.h
+++ b/lib/limit/again.h
@@ -11,7 +11,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 
 struct again_limits {
 	double ratio; /* retries per request */
@@ -20,8 +20,8 @@
 };
 
 struct again {
-	double level;	      /* retries available */
-	struct fade requests; /* about the number in the last window */
+	double level;		   /* retries available */
+	struct decay_sum requests; /* about the number in the last window */
 	int64_t at_ms;
 	bool started;
 };
--- a/lib/request/fatal.c
+++ b/lib/request/fatal.c
@@ -55,7 +55,7 @@
 	return false;
 }
 
-enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh_wide content,
+enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh128 content,
 				    bool in_flight, int64_t now)
 {
 	const struct fatal_row *row = fatal_find(f, content);
@@ -94,7 +94,7 @@
 	*d = row->pending[--row->nr_pending];
 }
 
-struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh_wide content,
+struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh128 content,
 				   uint64_t endpoint, int64_t ran_ms,
 				   bool probing, int64_t now)
 {
@@ -157,8 +157,8 @@
 			      int64_t now)
 {
 	const double per_ms =
-		fade_at(&f->crashed_sends, RATE_MS, now) /
-		(fade_at(&f->ran_ms, RATE_MS, now) + RATE_PRIOR_MS);
+		decay_sum_at(&f->crashed_sends, RATE_MS, now) /
+		(decay_sum_at(&f->ran_ms, RATE_MS, now) + RATE_PRIOR_MS);
 	const double chance = per_ms * (double)(ran_ms + 1);
 
 	if (chance >= 1)
@@ -170,7 +170,7 @@
 
 void fatal_add_run_time(struct fatal *f, int64_t ran_ms, int64_t now)
 {
-	fade_add(&f->ran_ms, (double)ran_ms, RATE_MS, now);
+	decay_sum_add(&f->ran_ms, (double)ran_ms, RATE_MS, now);
 }
 
 /*
@@ -208,7 +208,7 @@
 				 ? FATAL_WEIGHT_SHARED
 				 : chance_weight(f, d->ran_ms, now);
 		if (b.max_crashes < FATAL_STRONG_CRASHES)
-			fade_add(&f->crashed_sends, 1, RATE_MS, now);
+			decay_sum_add(&f->crashed_sends, 1, RATE_MS, now);
 		drop_pending(row, d);
 		row->was_convicted = fatal_is_convicted(row);
 		if (!fatal_add_crash(f, row, endpoint, weight, now))
@@ -273,8 +273,7 @@
 	f->vt->changed(f->arg, row, FATAL_CLEARED, 0);
 }
 
-void fatal_answer_complete(struct fatal *f, struct hsh_wide content,
-			   int64_t now)
+void fatal_answer_complete(struct fatal *f, struct hsh128 content, int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
@@ -287,8 +286,8 @@
 
 /* ---- Records and expiry ---- */
 
-void fatal_record_found(struct fatal *f, struct hsh_wide content,
-			int64_t wall_ms, int64_t now)
+void fatal_record_found(struct fatal *f, struct hsh128 content, int64_t wall_ms,
+			int64_t now)
 {
 	struct fatal_row *row = fatal_get(f, content, now);
 	const bool was_convicted = fatal_is_convicted(row);
@@ -300,7 +299,7 @@
 		fatal_report_crash(f, row, false, 0);
 }
 
-void fatal_record_lost(struct fatal *f, struct hsh_wide content)
+void fatal_record_lost(struct fatal *f, struct hsh128 content)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
@@ -308,7 +307,7 @@
 		row->record_lost = true;
 }
 
-void fatal_release(struct fatal *f, struct hsh_wide content, int64_t now)
+void fatal_release(struct fatal *f, struct hsh128 content, int64_t now)
 {
 	struct fatal_row *row = fatal_find(f, content);
 
--- a/lib/request/fatal.h
+++ b/lib/request/fatal.h
@@ -24,7 +24,7 @@
 #include <stdint.h>
 #include <urcu/list.h>
 
-#include "base/fade.h"
+#include "base/decay.h"
 #include "base/hsh.h"
 #include "base/tab.h"
 
@@ -87,7 +87,7 @@
 struct fatal_row {
 	struct cds_list_head node; /* in fatal.rows, the last changed last */
 	UT_hash_handle by_content;
-	struct hsh_wide content; /* hash of the request's content */
+	struct hsh128 content; /* hash of the request's content */
 	char route[FATAL_NAME], account[FATAL_NAME]; /* "": not known here */
 	struct fatal_crash crashes[FATAL_MAX_CRASHES];
 	bool was_convicted; /* before the crash that is being reported */
@@ -126,9 +126,10 @@
 	struct fatal_row *table; /* by content */
 	unsigned count;		 /* rows */
 	/* Decayed sums, for the rate at which sends meet a crash by chance. */
-	struct fade crashed_sends; /* aborted by a crash, no strong suspect */
-	struct fade ran_ms;	   /* total duration of sends */
-	unsigned next_in_turn;	   /* next row to gossip in rotation */
+	struct decay_sum
+		crashed_sends;	 /* aborted by a crash, no strong suspect */
+	struct decay_sum ran_ms; /* total duration of sends */
+	unsigned next_in_turn;	 /* next row to gossip in rotation */
 };
 
 /* `vt` and `arg` must stay valid until fatal_free(). */
@@ -141,7 +142,7 @@
  * Returns the row, or NULL if nothing is known of the content. The row is owned
  * by `f`, which may free it in any later call.
  */
-struct fatal_row *fatal_find(struct fatal *f, struct hsh_wide content);
+struct fatal_row *fatal_find(struct fatal *f, struct hsh128 content);
 
 /* Number of crashes that count against the request (not cleared). */
 unsigned fatal_crash_count(const struct fatal_row *row);
@@ -161,7 +162,7 @@
  * Decides whether a request may be sent. `in_flight`: another attempt of this
  * entry with the same content is at an endpoint.
  */
-enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh_wide content,
+enum fatal_verdict fatal_check_send(struct fatal *f, struct hsh128 content,
 				    bool in_flight, int64_t now_ms);
 
 /*
@@ -171,7 +172,7 @@
  * FATAL_MAX_PENDING endpoints the send is not noted. Returns the content's row,
  * owned by `f`, made if there was none.
  */
-struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh_wide content,
+struct fatal_row *fatal_send_broke(struct fatal *f, struct hsh128 content,
 				   uint64_t endpoint, int64_t ran_ms,
 				   bool probing, int64_t now_ms);
 
@@ -197,14 +198,14 @@
 void fatal_endpoint_silent(struct fatal *f, uint64_t endpoint);
 
 /* A complete answer to the content arrived: clears it. */
-void fatal_answer_complete(struct fatal *f, struct hsh_wide content,
+void fatal_answer_complete(struct fatal *f, struct hsh128 content,
 			   int64_t now_ms);
 
 /* ---- Gossip between entries ---- */
 
 /* A row as it is gossiped. */
 struct fatal_gossip {
-	struct hsh_wide content;
+	struct hsh128 content;
 	unsigned nr_crashes;
 	struct {
 		uint64_t endpoint;
@@ -216,7 +217,7 @@
 };
 
 /* Returns the endpoint at which this entry runs the content; 0: none. */
-typedef uint64_t (*fatal_running_at)(void *arg, struct hsh_wide content);
+typedef uint64_t (*fatal_running_at)(void *arg, struct hsh128 content);
 
 /*
  * Fills `out` with at most `max` rows: first those that changed recently or run
@@ -236,14 +237,14 @@
 /* ---- Quarantine records in the store ---- */
 
 /* The store has a record of the conviction, made at `wall_ms` (wall clock). */
-void fatal_record_found(struct fatal *f, struct hsh_wide content,
-			int64_t wall_ms, int64_t now_ms);
+void fatal_record_found(struct fatal *f, struct hsh128 content, int64_t wall_ms,
+			int64_t now_ms);
 
 /* The store lost the record: sets record_lost, and the conviction stands. */
-void fatal_record_lost(struct fatal *f, struct hsh_wide content);
+void fatal_record_lost(struct fatal *f, struct hsh128 content);
 
 /* The record was deleted from the store: ends the quarantine. */
-void fatal_release(struct fatal *f, struct hsh_wide content, int64_t now_ms);
+void fatal_release(struct fatal *f, struct hsh128 content, int64_t now_ms);
 
 /* Drops rows and pending sends past their lifetime. Call it periodically. */
 void fatal_expire(struct fatal *f, int64_t now_ms);
--- a/lib/request/fatal_internal.h
+++ b/lib/request/fatal_internal.h
@@ -1,6 +1,6 @@
 /*
  * Internals that the parts of fatal share: the rows (fatal_rows.c), the gossip
- * (fatal_gossip.c), and the attribution of crashes (fatal.c).
+ * (fatal_told.c), and the attribution of crashes (fatal.c).
  */
 #ifndef FATAL_INTERNAL_H
 #define FATAL_INTERNAL_H
@@ -22,7 +22,7 @@
  * Returns the content's row, owned by `f`; made if there is none. At
  * FATAL_MAX_ROWS this drops another row.
  */
-struct fatal_row *fatal_get(struct fatal *f, struct hsh_wide content,
+struct fatal_row *fatal_get(struct fatal *f, struct hsh128 content,
 			    int64_t now_ms);
 
 /* Removes and frees the row. */
--- a/tests/test_fatal.c
+++ b/tests/test_fatal.c
@@ -30,7 +30,7 @@
 
 static const struct fatal_vtable counting = { count_change };
 
-static const struct hsh_wide A = { 1, 1 }, B = { 2, 2 };
+static const struct hsh128 A = { 1, 1 }, B = { 2, 2 };
 
 static void start(struct fatal *f)
 {
@@ -39,7 +39,7 @@
 }
 
 /* An endpoint crashes while it runs the content. */
-static void crash_under(struct fatal *f, struct hsh_wide content,
+static void crash_under(struct fatal *f, struct hsh128 content,
 			uint64_t endpoint, int64_t now)
 {
 	fatal_send_broke(f, content, endpoint, 0, true, now);
@@ -183,7 +183,7 @@
 	fatal_free(&f);
 }
 
-static uint64_t runs_nowhere(void *arg, struct hsh_wide content)
+static uint64_t runs_nowhere(void *arg, struct hsh128 content)
 {
 	(void)arg;
 	(void)content;
@@ -238,7 +238,7 @@
 	for (i = 11; i < 14; i++)
 		crash_under(&f, A, i, 0);
 	for (i = 0; i < 3 * FATAL_MAX_ROWS; i++)
-		crash_under(&f, (struct hsh_wide){ 100 + i, 0 }, 1000 + i, 1);
+		crash_under(&f, (struct hsh128){ 100 + i, 0 }, 1000 + i, 1);
 	CU_ASSERT_EQUAL(f.count, FATAL_MAX_ROWS);
 	CU_ASSERT_EQUAL(fatal_check_send(&f, A, false, 1), FATAL_QUARANTINED);
 	fatal_free(&f);
@@ -301,7 +301,7 @@
 };
 
 struct sim_run {
-	struct hsh_wide content;
+	struct hsh128 content;
 	int entry, at, sends; /* at: index of the endpoint */
 	int64_t sent_ms, end_ms;
 	bool fatal, running;
@@ -335,7 +335,7 @@
 	unsigned sent, refused; /* harmless requests */
 } sim;
 
-static bool is_poison(struct hsh_wide c)
+static bool is_poison(struct hsh128 c)
 {
 	return c.hi == 1;
 }
@@ -402,13 +402,13 @@
 	return best;
 }
 
-static bool is_running(int entry, struct hsh_wide c)
+static bool is_running(int entry, struct hsh128 c)
 {
 	int i;
 
 	for (i = 0; i < sim.nr_runs; i++) {
 		if (sim.runs[i].running && sim.runs[i].entry == entry &&
-		    hsh_wide_equal(sim.runs[i].content, c))
+		    hsh128_equal(sim.runs[i].content, c))
 			return true;
 	}
 	return false;
@@ -425,7 +425,7 @@
 	return sim.nr_runs < MAX_RUNS ? &sim.runs[sim.nr_runs++] : NULL;
 }
 
-static void send(int entry, struct hsh_wide c, int sends)
+static void send(int entry, struct hsh128 c, int sends)
 {
 	const enum fatal_verdict v = fatal_check_send(
 		&sim.f[entry], c, is_running(entry, c), sim.now);
@@ -544,14 +544,14 @@
 	}
 }
 
-static uint64_t running_at(void *arg, struct hsh_wide c)
+static uint64_t running_at(void *arg, struct hsh128 c)
 {
 	const int entry = *(int *)arg;
 	int i;
 
 	for (i = 0; i < sim.nr_runs; i++) {
 		if (sim.runs[i].running && sim.runs[i].entry == entry &&
-		    hsh_wide_equal(sim.runs[i].content, c))
+		    hsh128_equal(sim.runs[i].content, c))
 			return sim.at[sim.runs[i].at].hash;
 	}
 	return 0;
@@ -612,8 +612,8 @@
 	for (i = 0; i < NR_POISON; i++) {
 		if (sim.record_ms[i] && sim.now >= sim.record_ms[i])
 			fatal_record_found(&sim.f[entry],
-					   (struct hsh_wide){ 1, (uint64_t)i },
-					   1, sim.now);
+					   (struct hsh128){ 1, (uint64_t)i }, 1,
+					   sim.now);
 	}
 }
 
@@ -627,8 +627,8 @@
 			continue;
 		for (k = 0; k < sim.s.entries; k++)
 			fatal_record_found(&sim.f[k],
-					   (struct hsh_wide){ 1, (uint64_t)i },
-					   1, sim.now);
+					   (struct hsh128){ 1, (uint64_t)i }, 1,
+					   sim.now);
 	}
 }
 
@@ -643,16 +643,16 @@
 
 	if (happens(60)) {
 		sim.sent++;
-		send(any_entry(), (struct hsh_wide){ 3, ++sim.next }, 0);
+		send(any_entry(), (struct hsh128){ 3, ++sim.next }, 0);
 	}
 	if (happens(40)) {
 		sim.sent++;
 		send(any_entry(),
-		     (struct hsh_wide){ 2, rnd_below(&sim.rnd, POPULAR) }, 0);
+		     (struct hsh128){ 2, rnd_below(&sim.rnd, POPULAR) }, 0);
 	}
 	for (i = 0; sim.s.poison && i < NR_POISON; i++) {
 		if (happens(4))
-			send(any_entry(), (struct hsh_wide){ 1, i }, 0);
+			send(any_entry(), (struct hsh128){ 1, i }, 0);
 	}
 }
 
