--- a/scripts/ending_test.sh
+++ b/scripts/ending_test.sh
@@ -47,14 +47,15 @@
 
 # send_to_all PATH BODY: to all entries at once.
 send_to_all() {
-	local n
+	local n pids=
 	for n in $(seq 1 "$EDGES"); do
 		curl -s -m 20 -o /dev/null -H 'Host: t.example' \
 			-H "Attempt-Id: once-$RANDOM-$n" -H 'Deadline-Ms: 10000' \
 			-H 'Authorization: Bearer k1' -d "$2" \
 			"http://$(address "$n" callers)$1" &
+		pids="$pids $!"
 	done
-	wait $(jobs -p | tail -n "$EDGES")
+	wait $pids
 }
 
 # background_load: unrelated idempotent requests, until DIR/stop exists.
