--- a/lib/edge/conf.h
+++ b/lib/edge/conf.h
@@ -19,11 +19,12 @@
 
 /* Members have the names of the settings, except as noted. */
 struct conf {
-	char name[CONF_NAME_SIZE];
+	char name[CONF_NAME_SIZE]; /* of this entry */
 	char zone[CONF_NAME_SIZE];
 	char region[CONF_NAME_SIZE];
-	char ip[CONF_NAME_SIZE];
+	char ip[CONF_NAME_SIZE]; /* for traffic between entries */
 	bool first_start; /* of the whole system: no earlier state exists */
+	/* Listeners for requests, readiness checks and look-ups of entries. */
 	struct {
 		char callers[CONF_ADDRESS_SIZE];
 		char ready[CONF_ADDRESS_SIZE];
@@ -32,7 +33,7 @@
 	int64_t first_internal_port; /* for traffic between entries; 0: any */
 	struct {
 		char address[CONF_ADDRESS_SIZE];
-		/* Rates that the store sustains for all entries together. */
+		/* Calls/s that the store sustains for all entries together. */
 		int64_t writes_per_s, reads_per_s;
 		int64_t min_lease_ms;
 	} store;
@@ -47,28 +48,38 @@
 	} limits; /* of this process */
 	/* Bounds that the entries together guarantee. */
 	struct {
-		double drain_ms; /* until a draining endpoint is avoided */
+		/* Until a draining endpoint gets no new requests. */
+		double drain_ms;
 		double grace_s;	 /* from SIGTERM to the kill */
 		double apply_ms; /* until a changed configuration is in force */
 		double revoke_ms;      /* until a revoked key is refused */
 		double retry_ratio;    /* retries per request */
-		double retry_window_s; /* over which retries are counted */
-		double retry_slack;    /* further retries in a window */
-		double limit_overrun;  /* over an account's limit, as a part */
-		double limit_slack;    /* the same as an amount */
-		double lease_ms; /* in which a duty holder may still act */
+		double retry_window_s; /* window of the retry budget */
+		double retry_slack;    /* further retries per window */
+		/*
+		 * Tolerated excess over an account's limit: relative to its
+		 * rate, and an absolute number of requests or tokens.
+		 */
+		double limit_overrun;
+		double limit_slack;
+		/* How long a former duty holder may still act. */
+		double lease_ms;
 		double usage_window_s; /* length of a usage window */
-		double usage_late_s;   /* after it, until the report is due */
-		/* Exposure limit of a new version; share 0: no roll-outs. */
+		double usage_late_s; /* from its end until the report is due */
+		/*
+		 * Exposure limit of a new version: a share of the requests from
+		 * a roll-out's order to its deadline, and requests beyond that.
+		 * Share 0: no roll-outs.
+		 */
 		double exposure_share;
 		double exposure_slack;
-		/* Refuse requests whose keys were not confirmed lately. */
+		/* Refuse requests while keys are not confirmed (revoke_ms). */
 		bool strict_revoke;
 	} bounds;
-	double list_ttl_s; /* maximum TTL of a look-up's answer */
+	double list_ttl_s; /* TTL of a look-up's answer; at most 2 s */
 	/*
-	 * Mechanisms that can be switched off one by one, to measure the
-	 * effect of one or while it is suspected of a fault. Without `moves`
+	 * Mechanisms that can be switched off one by one, to see the effect
+	 * of one, or while it is suspected of a fault. Without `moves`
 	 * streams on leaving endpoints may be cut; no other guarantee depends
 	 * on one of them.
 	 */
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -19,9 +19,10 @@
 #define GOSSIP_INTERVAL_MS 200
 
 /*
- * A shutdown lasts at least this long after SIGTERM, since callers may still
- * use an older answer of a look-up. It ends this margin before the platform
- * kills the process (bounds.grace_s), for the time that closing takes.
+ * A shutdown lasts at least MIN_SHUTDOWN_MS after SIGTERM, since callers may
+ * still use an older answer of a look-up. It ends at the latest KILL_MARGIN_MS
+ * before the platform kills the process (bounds.grace_s), for the time that
+ * closing takes.
  */
 #define MIN_SHUTDOWN_MS 2500
 #define KILL_MARGIN_MS 400
--- a/lib/edge/edge.h
+++ b/lib/edge/edge.h
@@ -19,9 +19,10 @@
  * the process's exit code: 0, or 1 with an error in `e` if the entry cannot
  * start.
  *
- * `settings_path` is read again on SIGHUP. All pointers must stay valid until
- * the return; `conf` is copied. Call once per process: it uses the default
- * loop and does not free all memory.
+ * `settings_path` is read again on SIGHUP. The log goes to stdout; lines less
+ * severe than `level` are left out. All pointers must stay valid until the
+ * return; `conf` is copied. Call once per process: it uses libev's default loop
+ * and does not free all memory.
  */
 int edge_run(const char *settings_path, const struct conf *conf,
 	     const struct wire *wire, const struct clk *clk,
--- a/lib/edge/edge_answer.c
+++ b/lib/edge/edge_answer.c
@@ -126,7 +126,7 @@
 {
 	if (r->nr_tried == EDGE_MAX_EXCLUDED)
 		return;
-	/* Keeps the memory from being reused for another endpoint. */
+	/* Referenced so that its address is not reused for another endpoint. */
 	flt_ref(r->endpoint);
 	r->tried[r->nr_tried++] = r->endpoint;
 }
@@ -206,7 +206,7 @@
 	buf_free(&r->answer_head);
 }
 
-/* Measured across resumptions, as the caller sees it. */
+/* A pause as the caller sees it: a resumption does not end it. */
 static void update_max_pause(struct edge_req *r)
 {
 	const int64_t now = edge_now(r->en);
@@ -342,7 +342,7 @@
 
 static void finish_answer(struct edge_req *r)
 {
-	/* A stream that has started can only be continued by a stream. */
+	/* After a stream has started, only a stream can continue it. */
 	const bool good = !r->rq.started && r->reply.status < 500;
 	struct edge *en = r->en;
 	enum rq_step step;
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -1,7 +1,7 @@
 /*
- * Quarantine of poison requests (fatal.h): feeds it with crashes and answers,
- * withholds suspects, and shares what is known by gossip and by records in the
- * store.
+ * Quarantine of poison requests: reports crashes and answers to the detection
+ * (fatal.h), withholds suspects, and shares what is known by gossip and by
+ * records in the store.
  */
 #include <assert.h>
 #include <stdio.h>
@@ -13,10 +13,10 @@
 /* Retry-After of a quarantined request. */
 #define QUARANTINE_RETRY_MS 60000
 
-/* Retry-After while a suspect runs elsewhere: its outcome is known then. */
+/* Retry-After while a suspect is in flight: its outcome is known by then. */
 #define BUSY_RETRY_MS 300
 
-/* Delay that batches gossip about crashes, and minimum time between two. */
+/* Delay that batches gossip of crashes; minimum time between broadcasts. */
 #define GOSSIP_DELAY_MS 2
 #define MIN_GOSSIP_GAP_MS 50
 
@@ -63,7 +63,7 @@
 	edge_peer_broadcast(en, en->fatal_gossip_ms);
 }
 
-/* Schedules a broadcast; news that come until then go along. */
+/* Schedules a broadcast, which includes all changes until then. */
 static void gossip_soon(struct edge *en)
 {
 	int64_t wait = en->fatal_gossip_ms + MIN_GOSSIP_GAP_MS - edge_now(en);
@@ -79,7 +79,7 @@
 /* ---- Changes of suspicion ---- */
 
 static void on_changed(void *arg, const struct fatal_row *row,
-		       enum fatal_change news, uint64_t endpoint)
+		       enum fatal_change change, uint64_t endpoint)
 {
 	static const char *const changes[] = {
 		[FATAL_SUSPECTED] = "suspected",
@@ -91,14 +91,17 @@
 	struct edge *en = arg;
 	const struct flt_endpoint *e = flt_find_by_hash(&en->fleet, endpoint);
 
-	/* What another entry saw is a warning in the log of that entry only. */
+	/*
+	 * Convictions, and crashes that this entry saw, are warnings. Other
+	 * changes are logged as such by the entry that saw them.
+	 */
 	log_suspect(en, row,
-		    endpoint || news == FATAL_CONVICTED ? JLOG_WARN
-							: JLOG_DEBUG,
-		    changes[news], e ? e->info.id : "");
-	if (news == FATAL_SUSPECTED)
+		    endpoint || change == FATAL_CONVICTED ? JLOG_WARN
+							  : JLOG_DEBUG,
+		    changes[change], e ? e->info.id : "");
+	if (change == FATAL_SUSPECTED)
 		met_inc(en->m.requests_suspected);
-	if (news == FATAL_CONVICTED) {
+	if (change == FATAL_CONVICTED) {
 		met_inc(en->m.requests_convicted);
 		/* This entry saw the crash, so it writes the record. */
 		if (endpoint)
@@ -117,7 +120,7 @@
 
 /* ---- Gossip ---- */
 
-/* A request with this content that was sent to an endpoint; NULL: none. */
+/* A request with this content that is in flight here; NULL: none. */
 static const struct edge_req *find_in_flight(const struct edge *en,
 					     struct hsh_wide content)
 {
@@ -130,7 +133,7 @@
 	return NULL;
 }
 
-/* Hash of the endpoint to which this entry sent the content; 0: none. */
+/* Hash of the endpoint at which this entry runs the content; 0: none. */
 static uint64_t endpoint_of(void *arg, struct hsh_wide content)
 {
 	const struct edge_req *r = find_in_flight(arg, content);
@@ -190,7 +193,7 @@
 
 /* ---- Before a send ---- */
 
-/* Ends a request that is not sent (again); 503 if it never ran. */
+/* Ends a request instead of sending it (again); 503 if it never ran. */
 static void give_up(struct edge_req *r, const char *why, int64_t retry_ms)
 {
 	const bool ran = r->rq.runs || r->rq.started;
@@ -237,7 +240,7 @@
 	return true;
 }
 
-/* A probe ended: sends the requests that waited for one. */
+/* A probe ended: sends the requests that were waiting for its result. */
 static void release_parked(struct edge *en)
 {
 	struct edge_req *r, *next;
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -1,17 +1,19 @@
 /*
  * edge: declarations shared by the files of the entry.
  *
- * An entry is one process of the request proxy: it admits callers' requests,
- * sends them to endpoints and passes the answers on. All entries are equal;
- * they share state by gossip (UDP datagrams) and by the key-value store.
+ * An entry is one process of the request proxy: it admits the requests of
+ * callers (HTTP clients), sends them to endpoints and passes the answers on.
+ * All entries have the same role, except that one of them holds the duties
+ * (lead.h) and few watch the store for the others. They share state by gossip
+ * (UDP datagrams) and by the key-value store.
  *
  * Lifetimes: `struct edge` lives as long as the process, `struct edge_req` as
  * a request, `struct hsc` as a connection, `struct cfg` as a version of the
  * configuration.
  *
- * Times: *_ms are milliseconds, and points in time are those of edge_now().
- * *_true_ms are points in time of the corrected wall clock (truth.h), since
- * 1970. Functions that take `now` expect edge_now().
+ * Times: *_ms are durations in milliseconds, or points in time on the clock of
+ * edge_now(); `now` is such a point. *_true_ms are points in time on the
+ * corrected wall clock (walltime.h), in milliseconds since 1970.
  *
  * Each *_open function is called once at the start, each *_tick function
  * periodically from the event loop (edge.c).
@@ -52,10 +54,10 @@
 #include "stream/evs.h"
 #include "stream/hand.h"
 
-/* Services with a retry budget of their own; any further share the first. */
+/* Services with a retry budget of their own; further ones share the first. */
 #define EDGE_MAX_RETRY_BUDGETS 32
 
-/* Endpoints that are excluded from further sends of a request. */
+/* Maximum number of endpoints excluded from further sends of a request. */
 #define EDGE_MAX_EXCLUDED PICK_MAX_EXCLUDED
 
 /*
@@ -122,7 +124,7 @@
 struct edge_watch {
 	struct edge *en;
 	const char *prefix;
-	int wait_ms; /* that the store holds a watch without changes */
+	int wait_ms; /* the store holds a watch without changes this long */
 	struct mir mirror;
 	struct feed feed;	 /* changes kept for followers */
 	bool watched_store;	 /* at least one watch was sent to the store */
@@ -143,15 +145,15 @@
 	int64_t began_true_ms;	/* begin of the era; 0: no restore known */
 	int64_t record_version; /* of the record in the store; 0: no record */
 	int64_t recorded_era;	/* the era that the record states */
-	int64_t next_write_ms;	/* the record is not written before */
-	bool record_read;	/* the system keys were read once */
+	int64_t next_write_ms;	/* no write of the record before */
+	bool record_read;	/* if present, the record was read */
 };
 
 /* The entry. */
 struct edge {
 	struct ev_loop *loop;
 	const struct clk *clk;
-	const struct conf *conf;  /* mutable_conf, for readers */
+	const struct conf *conf;  /* mutable_conf, read-only */
 	struct conf mutable_conf; /* changes on SIGHUP */
 	const char *settings_path;
 	const struct wire *wire;
@@ -163,6 +165,7 @@
 	uint64_t boot;	 /* random id of this process, not 0 */
 	uint64_t source; /* edge_source() of this process */
 
+	/* The listeners. */
 	struct hsc_server callers, ready, lookup, peers;
 	struct cds_list_head requests; /* of edge_req.node */
 
@@ -170,21 +173,21 @@
 	struct edge_watch watches[EDGE_NR_WATCHES];
 	struct cds_list_head followers; /* of edge_follower.node */
 	struct edge_era era;
-	struct force force;
+	struct force force; /* the configuration in force */
 	struct {
 		int64_t era;
 		/* In the form of a watch's answer; empty: too large. */
 		struct buf body;
 		int64_t version;
-	} config_copy; /* the configuration, for followers */
-	struct vfy vfy;
+	} config_copy;	/* the configuration, for followers */
+	struct vfy vfy; /* when to check for a newer configuration */
 	int watch_rank; /* edge_watch_rank() at the last gossip round */
 	struct cds_list_head awaiting_config; /* of edge_req.wait_node */
 	struct edge_lease lease;
 
-	struct flt fleet;
+	struct flt fleet;	     /* the endpoints */
 	struct cds_list_head models; /* of svc, one per service */
-	struct parts parts;
+	struct parts parts;	     /* where shared prompt parts were sent */
 	struct acct_table accounts;
 	struct edge_retry_budget budgets[EDGE_MAX_RETRY_BUDGETS];
 	unsigned nr_budgets;
@@ -197,11 +200,11 @@
 	ev_timer fatal_gossip_timer; /* batches gossip about suspects */
 	int64_t fatal_gossip_ms;     /* when it last fired */
 	int64_t fatal_expiry_ms;     /* when old suspects were last removed */
-	unsigned nr_fatal_news;	     /* rows of gossip_out.fatal that are new */
-	bool fatal_marked;	     /* some flt_endpoint.suspects may be set */
+	unsigned nr_fatal_news;	     /* rows in gossip_out.fatal that changed */
+	bool fatal_marked;	     /* some suspect_runs may not be 0 */
 	bool fatal_from_others;	     /* applying gossip or records */
 
-	struct prs prs;
+	struct prs prs;	      /* the other entries */
 	struct fade arrivals; /* callers' requests per second */
 	struct rank ranking;  /* scratch space, too large for the stack */
 	int gossip_fd;	      /* UDP socket */
@@ -214,7 +217,7 @@
 	struct gsp_record gossip_out, gossip_in; /* scratch space */
 	char peer_address[80];			 /* IP:PORT, TCP and UDP */
 
-	struct lead lead;
+	struct lead lead; /* election of the duty holder */
 	struct saved_plan
 		plan; /* of the duty holder, as last read from the store */
 	char duty_holder[GSP_NAME_SIZE]; /* name of the entry; "": none */
@@ -244,8 +247,8 @@
 	struct hsh_wide content;
 	bool awaiting_config; /* in edge.awaiting_config */
 	bool parked;	      /* in edge.parked, until a probe has ended */
-	bool isolated; /* suspect: sent to an endpoint without other requests */
-	bool config_checked; /* the configuration was checked after arrival */
+	bool isolated;	      /* suspect: sent where few other requests run */
+	bool config_checked;  /* the configuration was checked after arrival */
 	int64_t arrived_ms;
 	int64_t deadline_at_ms; /* the earlier of deadline and route timeout */
 	int64_t sent_true_ms;	/* the current send */
@@ -261,24 +264,24 @@
 	struct svc *model;     /* of the service */
 	struct svc_state endpoint_state; /* when the request was sent */
 	double predicted_ms; /* to the first event, or an answer without any */
-	bool prefill_known;  /* endpoint_state.read_tokens is certain */
+	bool prefill_known;  /* endpoint_state.tokens_to_prefill is certain */
 
 	struct flt_endpoint *tried[EDGE_MAX_EXCLUDED]; /* referenced */
 	unsigned nr_tried;
 	unsigned sends;
 	unsigned sends_reached; /* sends that may have reached an endpoint */
-	bool retry_charged;	/* the current send was charged to the budget */
+	bool retry_charged;	/* the current send, to the retry budget */
 	struct reply reply;
 	struct buf answer_head; /* until the first event was passed on */
 	struct buf answer_body; /* of an answer without a stream */
 	struct {
-		uint64_t order; /* 0: not counted */
+		uint64_t order; /* hash of the order; 0: not counted */
 		uint32_t route, group;
 		bool answered;
 	} tally; /* how the current send is counted in a roll-out (tally.h) */
 	struct evs events;
-	struct hand hand;	/* migration of the stream off this endpoint */
-	struct edge_move *move; /* its call; NULL: none */
+	struct hand hand;	/* state of the migration off this endpoint */
+	struct edge_move *move; /* the migration's call; NULL: none */
 	bool streaming;		/* the current answer is a stream of events */
 	bool announced_close;	/* the head has "Connection: close" */
 	bool usage_counted;	/* in the account's usage */
@@ -289,15 +292,16 @@
 
 /* ---- edge_req.c: admission ---- */
 
-extern const struct hsc_vtable edge_caller_vtable; /* owner: edge */
+extern const struct hsc_vtable edge_caller_vtable; /* owner: struct edge */
 
 /* Resumes the admission of all requests in en->awaiting_config. */
 void edge_req_resume_waiting(struct edge *en);
 
 /*
  * Ends the request with an error response of the entry itself, and frees it.
- * `retry_ms`: Retry-After; -1: none. An amount that was charged to the
- * account's limit is refunded unless the request may have run.
+ * `status`: of HTTP; `why`: for the response and the log; `retry_ms`: for
+ * Retry-After; -1: none. An amount that was charged to the account's limit is
+ * refunded unless the request may have run.
  */
 void edge_req_answer(struct edge_req *r, int status, const char *why,
 		     int64_t retry_ms);
@@ -305,7 +309,7 @@
 /* Frees the request, and cancels what is in flight for it. */
 void edge_req_free(struct edge_req *r);
 
-/* True if the service's retry budget allows a retry; `spend` charges it. */
+/* True if the service's retry budget allows a retry; `spend`: charges it. */
 bool edge_may_retry(struct edge_req *r, bool spend);
 
 /* Returns what the current send was charged to the retry budget. */
@@ -316,7 +320,7 @@
 /* Picks an endpoint and sends the request, or ends it; may free `r`. */
 void edge_send(struct edge_req *r);
 
-/* Closes and frees the endpoint's connections; for flt_init(). */
+/* Closes and frees the endpoint's connections; a callback for flt_init(). */
 void edge_conn_pool_free(struct flt_endpoint *e);
 
 /*
@@ -335,8 +339,9 @@
 /* ---- edge_probe.c: probes of endpoints after broken connections ---- */
 
 /*
- * Probes an endpoint unless a probe is in flight. True: edge_fatal_probed is
- * called with the result, never from within. False: no socket or no address.
+ * Starts a probe of an endpoint, unless one is in flight. True: when the probe
+ * has ended, edge_fatal_probed() is called, never before this returns. False:
+ * no socket, or the address cannot be parsed.
  */
 bool edge_probe(struct edge *en, struct flt_endpoint *e);
 
@@ -349,8 +354,8 @@
 void edge_fatal_tick(struct edge *en, int64_t now);
 
 /*
- * True if the request may be sent now. False: it was parked, or it was ended
- * and freed.
+ * True if the request may be sent now; sets r->isolated if it is a suspect.
+ * False: it was parked, or it was ended and freed.
  */
 bool edge_fatal_may_send(struct edge_req *r);
 
@@ -368,19 +373,22 @@
 void edge_fatal_probed(struct edge *en, struct flt_endpoint *e,
 		       enum htc_found found);
 
-/* The endpoint was removed for good from the list. */
+/* The endpoint was removed; unless it was draining, it counts as crashed. */
 void edge_fatal_endpoint_gone(struct edge *en, const struct flt_endpoint *e);
 
-/* Adds this entry's suspects to a datagram; takes over those of another. */
+/* Adds this entry's suspects to a datagram; merges those of another entry. */
 void edge_fatal_fill_gossip(struct edge *en, struct gsp_record *out,
 			    int64_t now);
 void edge_fatal_apply_gossip(struct edge *en, const struct gsp_record *r,
 			     int64_t now);
 
-/* Recounts flt_endpoint.suspects of all endpoints. */
+/* Recounts flt_endpoint.suspect_runs of all endpoints. */
 void edge_fatal_mark_endpoints(struct edge *en);
 
-/* The record of a quarantined request was written, or was deleted. */
+/*
+ * The record of a quarantined request was written, or was deleted. `value`
+ * needs no final NUL.
+ */
 void edge_fatal_record_seen(struct edge *en, const char *key, const char *value,
 			    size_t len);
 void edge_fatal_record_deleted(struct edge *en, const char *key);
@@ -396,7 +404,7 @@
  */
 #define EDGE_FULL_RETRY_MS 500
 
-extern const struct htc_vtable edge_answer_vtable; /* owner: edge_req */
+extern const struct htc_vtable edge_answer_vtable; /* owner: struct edge_req */
 
 /*
  * Ends the current send, if there is one: cancels its call and releases the
@@ -404,19 +412,28 @@
  */
 void edge_send_stop(struct edge_req *r);
 
-/* Carries out a step of rq.h; may free `r`. `why`: for the log and caller. */
+/*
+ * Carries out the step that rq.h decided on; may free `r`. `why`: for the log
+ * and the response.
+ */
 void edge_step(struct edge_req *r, enum rq_step step, const char *why);
 
 /* The prefill of the current send is done: it no longer counts as waiting. */
 void edge_prefill_done(struct edge_req *r);
 
-/* The endpoint did not run the request: retries it or ends it. May free `r`. */
+/*
+ * The endpoint did not run the request: retries it or ends it. May free `r`.
+ * `o`: recorded for the endpoint; `why`: for the log and the response.
+ */
 void edge_send_not_run(struct edge_req *r, enum flt_outcome o, const char *why);
 
-/* There was no connection to the endpoint: as edge_send_not_run. */
+/*
+ * There was no connection to the endpoint: as edge_send_not_run(), but the send
+ * is not charged to the retry budget.
+ */
 void edge_send_unreached(struct edge_req *r, const char *why);
 
-/* Logs the end of the current send. `status`: of the answer; 0: none. */
+/* Logs the end of the current send. `status`: HTTP status; 0: no answer. */
 void edge_log_send_ended(struct edge_req *r, const char *outcome, int status);
 
 /*
@@ -444,7 +461,10 @@
 /* Cancels the migration, if one is in progress. */
 void edge_move_cancel(struct edge_req *r);
 
-/* The KV cache was copied and the stream has stopped: continues at the copy. */
+/*
+ * The KV cache was copied and the stream has stopped: continues at the copy.
+ * May free `r`.
+ */
 void edge_move_continue(struct edge_req *r);
 
 /* ---- edge_store.c: changes of keys in the store ---- */
@@ -464,7 +484,7 @@
 #define EDGE_SYSTEM_PREFIX "md/"      /* all keys that entries write */
 #define EDGE_DUTY_KEY "md/duty"	      /* the duty holder */
 #define EDGE_USAGE_PREFIX "md/usage/" /* usage reports */
-#define EDGE_PLAN_KEY "md/plan"	      /* the duty holder's plan (carry.h) */
+#define EDGE_PLAN_KEY "md/plan"	      /* the duty holder's saved_plan */
 
 /* ---- edge_watch.c: watches of the store, direct or at another entry ---- */
 
@@ -514,7 +534,10 @@
 /* Gives up the duties and revokes the lease; for shutdown. */
 void edge_lease_resign(struct edge *en);
 
-/* Writes the value of EDGE_DUTY_KEY that names this process. */
+/*
+ * Writes the value of EDGE_DUTY_KEY that names this process: entry name and
+ * boot, cut off at `size` bytes with the final NUL.
+ */
 void edge_lease_format_holder(const struct edge *en, char *out, size_t size);
 
 /* Extracts the entry's name from such a value, which needs no final NUL. */
@@ -523,14 +546,14 @@
 
 /* ---- edge_peer_http.c: HTTP server for other entries ---- */
 
-extern const struct hsc_vtable edge_peer_http_vtable; /* owner: edge */
+extern const struct hsc_vtable edge_peer_http_vtable; /* owner: struct edge */
 
 /* Answers the followers that have news, or whose wait is over. */
 void edge_serve_followers(struct edge *en, int64_t now);
 
 /* ---- edge_peer.c: gossip with other entries ---- */
 
-/* Opens the listener and the socket for datagrams; -1 with an error. */
+/* Opens the listener and the socket for datagrams; 0, or -1 with an error. */
 int edge_peer_open(struct edge *en, struct err *e);
 
 /* Runs a gossip round, and evaluates what peers last sent. */
@@ -549,7 +572,7 @@
 void edge_peer_sum_demands(struct edge *en, int64_t now);
 void edge_peer_sum_loads(struct edge *en, int64_t now);
 
-/* ---- edge_rank.c: selection of entries for roles of a few ---- */
+/* ---- edge_rank.c: selection of entries for roles that few have ---- */
 
 /*
  * This entry's rank, from 0, among the entries that watch the store; -1: it
@@ -563,7 +586,7 @@
  */
 const struct prs_peer *edge_watch_leader(struct edge *en, int64_t now);
 
-/* Sets prs_peer.keeps_counts: the peers that are sent all usage counts. */
+/* Sets prs_peer.collects_counts: the peers that are sent all usage counts. */
 void edge_mark_count_keepers(struct edge *en, int64_t now);
 
 /*
@@ -575,7 +598,7 @@
 
 /* ---- edge_lookup.c: look-ups of entries, readiness checks ---- */
 
-extern const struct hsc_vtable edge_lookup_vtable; /* owner: edge */
+extern const struct hsc_vtable edge_lookup_vtable; /* owner: struct edge */
 
 /* True if this entry is ready for callers' requests. */
 bool edge_is_ready(const struct edge *en);
@@ -588,13 +611,13 @@
 /* Counts a run of the request's account, which began at `true_ms`. */
 void edge_duty_count_run(struct edge_req *r, int64_t true_ms);
 
-/* Identifies one process: the same name with another boot is another one. */
+/* The id of one process of an entry; after a restart it differs. */
 static inline uint64_t edge_source(const char *name, uint64_t boot)
 {
 	return boot ^ hsh_str(name, 0);
 }
 
-/* Adds the log field that is the same for all attempts with this content. */
+/* Adds the log field by which all attempts with this content are found. */
 static inline void edge_log_content(struct edge *en, struct hsh_wide content)
 {
 	char digits[33];
@@ -603,7 +626,7 @@
 	jlog_str(en->log, "content", digits);
 }
 
-/* The clock of all timers, ms: monotonic, and counts suspension. */
+/* Now, in ms, on a monotonic clock that includes suspension of the machine. */
 static inline int64_t edge_now(const struct edge *en)
 {
 	return clk_boot_ms(en->clk);
--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -42,7 +42,7 @@
 		    (int64_t)fabs(took_ms - r->predicted_ms));
 }
 
-/* Excludes versions on trial, which may be rolled back. */
+/* Does not learn from versions on trial, which may be rolled back. */
 static bool may_learn(const struct edge_req *r)
 {
 	return r->en->conf->policy.learn && r->endpoint->use == FLT_IN_USE;
@@ -52,7 +52,7 @@
 {
 	const double took = (double)(edge_now(r->en) - r->sent_ms);
 
-	/* A copy has no prefill; a resumed run prefills its events as well. */
+	/* A copy needs no prefill; a resumed run prefills its events as well. */
 	if (r->rq.at_copy || r->rq.started)
 		return;
 	observe_error(r, took);
--- a/lib/edge/edge_lookup.c
+++ b/lib/edge/edge_lookup.c
@@ -6,7 +6,10 @@
 /* Maximum number of addresses in an answer. */
 #define MAX_ADDRESSES 64
 
-/* Maximum TTL: callers cache an answer; a shorter TTL means more look-ups. */
+/*
+ * Maximum TTL of an answer, s. Callers cache it that long: a shorter TTL means
+ * more look-ups.
+ */
 #define MAX_TTL_S 2.0
 
 bool edge_is_ready(const struct edge *en)
--- a/lib/edge/edge_move.c
+++ b/lib/edge/edge_move.c
@@ -1,6 +1,7 @@
 /*
- * Migrates streams off endpoints that leave: the endpoint stops the run and
- * copies its KV cache to another one, where the stream continues (hand.h).
+ * Migrates streams off endpoints that leave (hand-over, hand.h): the endpoint
+ * stops the run and copies its KV cache to another one, where the stream
+ * continues.
  */
 #include <assert.h>
 #include <stdlib.h>
@@ -10,13 +11,14 @@
 
 /*
  * Delay from the notice that an endpoint leaves to the migration of its
- * streams. Some streams end within this time by themselves. The earliest
- * reclaim was seen 0.5 s after the notice, which leaves the remaining time for
- * the copies: 7 to 13 ms each for a prompt of 17,000 tokens, one by one.
+ * streams. Some streams end within this time by themselves. An endpoint may be
+ * reclaimed as early as 0.5 s after the notice, so the rest of that time is
+ * left for the copies, which are made one after the other: each takes 7 to
+ * 13 ms for a prompt of 17,000 tokens.
  */
 #define MOVE_DELAY_MS 250
 
-/* Timeout of the call: after that the endpoint is gone anyway. */
+/* Timeout of the call: the endpoint is gone by then, so a copy is too late. */
 #define MOVE_CALL_TIMEOUT_MS 900
 
 /* The migration of one stream. */
@@ -24,7 +26,7 @@
 	struct edge_req *r;
 	struct flt_endpoint *to; /* the target; referenced */
 	struct htc_call *call;
-	int status; /* of the answer; 0: none */
+	int status; /* HTTP status of the answer; 0: none */
 	struct buf body;
 	struct wire_move_result moved;
 };
@@ -165,7 +167,10 @@
 	struct buf wire = BUF_INIT;
 	struct edge_move *m;
 
-	/* Charged as a retry: without a budget the run is not stopped. */
+	/*
+	 * Charged as a retry. If the budget does not allow one, the run is not
+	 * stopped, since it could not be sent again.
+	 */
 	if (!to || !from || !edge_may_retry(r, true))
 		return;
 	m = calloc(1, sizeof(*m));
--- a/lib/edge/edge_peer_http.c
+++ b/lib/edge/edge_peer_http.c
@@ -30,7 +30,7 @@
 		return;
 	c->request = NULL;
 	en = c->server->owner;
-	/* The call may have been executed: no status would be true. */
+	/* The call may have been executed or not: any status could be wrong. */
 	if (!status && sent) {
 		hsc_cut(c);
 		return;
@@ -76,7 +76,8 @@
 	struct cds_list_head node; /* in edge.followers */
 	struct hsc *conn;
 	struct edge_watch *watch; /* NULL: waits for a configuration */
-	int64_t after;	  /* changes after this version; or the version */
+	/* Wants changes after this version, or at least this configuration. */
+	int64_t after;
 	int64_t until_ms; /* end of the wait */
 };
 
@@ -126,8 +127,8 @@
 		return;
 	}
 	/*
-	 * This entry follows another one itself: its changes would reach the
-	 * follower late, or not at all if that feed is stuck. Changes of
+	 * While this entry follows another one itself, its changes would reach
+	 * the follower late, or not at all if that feed is stuck. Changes of
 	 * another era of the store are of no use to the follower either.
 	 */
 	if (f->watch->following || ver_era(f->after) != f->watch->era) {
@@ -136,7 +137,7 @@
 	}
 	switch (feed_after(&f->watch->feed, f->after, &part)) {
 	case FEED_GAP:
-		/* The changes are not kept here: it asks the store once. */
+		/* Not kept here: the follower sends one watch to the store. */
 		answer_follower(f, 404, "", 0);
 		return;
 	case FEED_CHANGES:
--- a/lib/edge/edge_probe.c
+++ b/lib/edge/edge_probe.c
@@ -2,9 +2,10 @@
  * Probes an endpoint after a send to it broke off.
  *
  * A broken connection alone does not prove a crash: connections are also reset,
- * and answers lost, while the endpoint lives. A new connection shows which: it
- * is accepted, or refused because no process listens. It is kept for the next
- * request, so probing a live endpoint costs nothing.
+ * and answers lost, while the endpoint lives. A new connection shows which it
+ * was: a live endpoint accepts it; after a crash it is refused, because no
+ * process listens. An accepted connection is kept for the next request, so
+ * probing a live endpoint costs nothing.
  */
 #include <assert.h>
 #include <stdlib.h>
--- a/lib/edge/edge_req.c
+++ b/lib/edge/edge_req.c
@@ -12,10 +12,11 @@
 /*
  * A request with an unknown key or route is refused only if the configuration
  * was confirmed as the newest within bounds.apply_ms, less this margin, before
- * the request arrived: any change that the caller may rely on was accepted
- * earlier. The margin covers timers that fire late. With a fixed second instead
- * of the bound, 84 entries read the configuration about 1,500 times in 50 s for
- * 1,500 requests without a route.
+ * the request arrived. A caller may rely on a change only bounds.apply_ms after
+ * it was accepted, and such a change is in that configuration. The margin
+ * covers timers that fire late. With a fixed second instead of the bound, 84
+ * entries read the configuration about 1,500 times in 50 s for 1,500 requests
+ * without a route.
  */
 #define VERIFY_MARGIN_MS 300
 
@@ -32,8 +33,9 @@
 #define DEFAULT_TIMEOUT_MS 30000
 
 /*
- * Retry-After. The first covers a refresh of the configuration. The second is
- * for waits of unknown length, such as until the store is reachable again.
+ * Retry-After. RETRY_SOON_MS covers a refresh of the configuration;
+ * RETRY_LATER_MS is for waits of unknown length, such as until the store is
+ * reachable again.
  */
 #define RETRY_SOON_MS 300
 #define RETRY_LATER_MS 1000
@@ -211,7 +213,7 @@
 				   hsh_wide(buf_cstr(body), body->len));
 }
 
-/* What the request costs of its account's limit: requests or tokens. */
+/* The request's charge to its account's limit, in requests or tokens. */
 static double charge_of(const struct edge_req *r)
 {
 	if (!r->account->rate_in_tokens)
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -18,7 +18,7 @@
 #define KEEPALIVE_S 1
 /* Idle connections are kept for this long unless the endpoint states less. */
 #define IDLE_TIMEOUT_MS 30000
-/* A request that must not be repeated uses connections idle for less. */
+/* A request that must not be repeated uses only connections idle for less. */
 #define FRESH_CONN_MS 9000
 
 /* Retry-After when no endpoint is known. */
@@ -160,7 +160,7 @@
 			     r->endpoint->hash, edge_now(en));
 }
 
-/* `copy_at`: where a copy of the run's KV cache is; NULL: none. */
+/* `copy_at`: IP:PORT/HANDLE of a copy of the run's KV cache; NULL: none. */
 static void start_send(struct edge_req *r, const struct pick_result *p,
 		       const char *copy_at)
 {
--- a/lib/edge/wire.h
+++ b/lib/edge/wire.h
@@ -2,9 +2,10 @@
  * wire: the codec of the protocols with callers, endpoints, the store and the
  * platform, as a table of functions that the platform adapter provides.
  *
- * Functions only convert between bytes and the types of this project. Those
- * that decode return -1 (decode_config: NULL) with an error if the input is
- * malformed. Those that encode append to `out`.
+ * The functions only convert between bytes and the types of this project.
+ * Those that decode and have an `e` return 0, or -1 (decode_config: NULL) with
+ * an error if the input is malformed; `text` and `body` need no final NUL.
+ * Those that encode append to `out`.
  */
 #ifndef WIRE_H
 #define WIRE_H
@@ -20,7 +21,7 @@
 #include "rollout/rollout.h"
 #include "store/sto.h"
 
-/* Who makes a call of a duty. */
+/* Identifies the duty holder in its calls to the platform. */
 struct wire_duty {
 	const char *holder; /* name of the entry */
 	int64_t fence;	    /* its fencing token */
@@ -38,7 +39,7 @@
 	const char *rollout_prefix;  /* key prefix of roll-out orders */
 	const struct sto_codec *store;
 
-	/* The configuration; the caller owns the reference. */
+	/* The configuration; the reference is released by cfg_put(). */
 	struct cfg *(*decode_config)(const char *text, size_t len,
 				     struct err *e);
 
@@ -67,15 +68,16 @@
 			      struct reply *out);
 
 	/*
-	 * The head of the answer for the caller, without headers on its length
-	 * and without the final empty line.
+	 * The head of the answer for the caller, without headers that concern
+	 * the connection or the body's length, and without the empty line.
 	 */
 	void (*encode_answer_head)(const struct hmsg *m, struct buf *out);
 
 	/*
 	 * A whole response of the entry itself. `id`: of the attempt; NULL:
-	 * unknown. `retry_ms`: Retry-After; -1: none. `last`: the connection
-	 * closes after it.
+	 * unknown. `why`: text of the error; unused with status 200.
+	 * `retry_ms`: for Retry-After; -1: none. `last`: the connection closes
+	 * after it.
 	 */
 	void (*encode_own_answer)(int status, const char *id, const char *why,
 				  int64_t retry_ms, bool last, struct buf *out);
@@ -89,7 +91,7 @@
 	int (*decode_move_result)(const char *body, size_t len,
 				  struct wire_move_result *out, struct err *e);
 
-	/* Requests to the look-up and readiness listeners. */
+	/* True if the request is a look-up, or a readiness check. */
 	bool (*is_lookup)(const struct hmsg *m);
 	bool (*is_ready_check)(const struct hmsg *m);
 
@@ -97,17 +99,17 @@
 	void (*encode_lookup_answer)(const char *const *addresses, size_t n,
 				     double ttl_s, struct buf *out);
 
-	/* The counts of a window, as encode_usage takes them. */
+	/* The runs of `n` accounts, as text for encode_usage. */
 	void (*encode_usage_counts)(const struct usage_total *totals, size_t n,
 				    struct buf *out);
 
-	/* The whole call that reports a window's usage. */
+	/* The whole call that reports the usage of window number `window`. */
 	void (*encode_usage)(const struct wire_duty *d, int64_t window,
 			     const char *counts, struct buf *out);
 
 	/*
-	 * The whole call that orders `number` endpoints of a service in a zone:
-	 * spot ones if `reclaimable`, else on-demand ones.
+	 * The whole call that sets the desired number of endpoints of a service
+	 * in a zone: of spot ones if `reclaimable`, else of on-demand ones.
 	 */
 	void (*encode_scale)(const struct wire_duty *d, const char *service,
 			     const char *zone, bool reclaimable, int number,
