--- a/lib/edge/conf.h
+++ b/lib/edge/conf.h
@@ -19,7 +19,7 @@
 
 /* Members have the names of the settings, except as noted. */
 struct conf {
-	char name[CONF_NAME_SIZE]; /* of this entry */
+	char name[CONF_NAME_SIZE]; /* of this entry, unique */
 	char zone[CONF_NAME_SIZE];
 	char region[CONF_NAME_SIZE];
 	char ip[CONF_NAME_SIZE]; /* for traffic between entries */
@@ -79,7 +79,7 @@
 	double list_ttl_s; /* TTL of a look-up's answer; at most 2 s */
 	/*
 	 * Mechanisms that can be switched off one by one, to see the effect
-	 * of one, or while it is suspected of a fault. Without `moves`
+	 * of one, or while one is suspected of a fault. Without `moves`
 	 * streams on leaving endpoints may be cut; no other guarantee depends
 	 * on one of them.
 	 */
@@ -92,8 +92,8 @@
 		bool sample;	    /* consider a random sample of endpoints */
 		bool urgency;	    /* send priorities to engines */
 		bool moves;	    /* migrate streams off leaving endpoints */
-		bool price_cover;   /* spot endpoints beyond need, by price */
-		bool loss_cover;    /* stand-by capacity for the next reclaim */
+		bool price_cover;   /* spare spot endpoints, more if cheap */
+		bool loss_cover;    /* spare endpoints for a zone's reclaim */
 		bool ease;	    /* drain on-demand endpoints one by one */
 		bool carry_plan;    /* start from the former holder's plan */
 	} policy;
--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -264,7 +264,7 @@
 	const int64_t now = edge_now(en);
 	struct fatal_row *row;
 
-	/* The endpoint was leaving: no request is suspected. */
+	/* The endpoint left as announced: no request is suspected. */
 	if (flt_leaving_ms(e, now) >= 0 && !e->exited)
 		return;
 	row = fatal_send_broke(&en->fatal, r->content, e->hash,
--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -52,7 +52,7 @@
 {
 	const double took = (double)(edge_now(r->en) - r->sent_ms);
 
-	/* A copy needs no prefill; a resumed run prefills its events as well. */
+	/* A copy has no prefill; a resumed run prefills its events as well. */
 	if (r->rq.at_copy || r->rq.started)
 		return;
 	observe_error(r, took);
--- a/lib/edge/edge_peer_http.c
+++ b/lib/edge/edge_peer_http.c
@@ -102,7 +102,10 @@
 	hsc_done(c, false);
 }
 
-/* Answers with the configuration, or with 404 after the wait. */
+/*
+ * Answers with the configuration; with 404 after the wait, or if the copy was
+ * too large to be kept.
+ */
 static void try_config(struct edge *en, struct edge_follower *f, int64_t now)
 {
 	const struct buf *body = &en->config_copy.body;
--- a/lib/edge/edge_send.c
+++ b/lib/edge/edge_send.c
@@ -8,8 +8,8 @@
 
 /*
  * Timeout for connecting to an endpoint. A round trip takes less than 3 ms, and
- * a request is late after a few hundred. A lost SYN is retransmitted only after
- * 1 s, which is too late.
+ * a request is late after a few hundred ms. A lost SYN is retransmitted only
+ * after 1 s, which is too late.
  */
 #define CONNECT_TIMEOUT_MS 250
 /* TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged. */
--- a/lib/edge/wire.h
+++ b/lib/edge/wire.h
@@ -39,7 +39,7 @@
 	const char *rollout_prefix;  /* key prefix of roll-out orders */
 	const struct sto_codec *store;
 
-	/* The configuration; the reference is released by cfg_put(). */
+	/* Returns the configuration, to be released by cfg_put(). */
 	struct cfg *(*decode_config)(const char *text, size_t len,
 				     struct err *e);
 
