--- a/lib/edge/edge_learn.c
+++ b/lib/edge/edge_learn.c
@@ -42,7 +42,7 @@
 		    (int64_t)fabs(took_ms - r->predicted_ms));
 }
 
-/* Excludes versions on trial, which may be rolled back. */
+/* Does not learn from versions on trial, which may be rolled back. */
 static bool may_learn(const struct edge_req *r)
 {
 	return r->en->conf->policy.learn && r->endpoint->use == FLT_IN_USE;
