--- a/lib/entry/ent_admit.c
+++ b/lib/entry/ent_admit.c
@@ -75,9 +75,9 @@
 	const size_t entries = live_entries(en);
 
 	memset(f, 0, sizeof(*f));
-	f->cut_off = ent_cut_off(en);
+	f->cut_off = ent_is_cut_off(en);
 	f->draining = atomic_load(&en->releasing);
-	f->in_flight = atomic_load(&en->running);
+	f->in_flight = atomic_load(&en->nr_open);
 	f->max_in_flight = (size_t)en->set.in_flight;
 	f->account_in_flight = atomic_load(&rq->acct->in_flight);
 	f->account_max_in_flight = rq->acct_max;
@@ -103,7 +103,7 @@
 	struct route_query ask;
 
 	pthread_mutex_lock(&m->lock);
-	ent_fill_ask(rq, &ask);
+	ent_fill_query(rq, &ask);
 	c = route_choose(m->table, m->prefix, &ask, &m->rnd, ent_now(rq->en),
 			 NULL, NULL);
 	pthread_mutex_unlock(&m->lock);
@@ -138,15 +138,15 @@
 	f.share_ok = true;
 	r = admit_decide(&f);
 	if (r.verdict != ADMIT_REFUSE) {
-		rq->charged = rq->prompt_tokens + (double)rq->max_tokens;
+		rq->charged_tokens = rq->prompt_tokens + (double)rq->max_tokens;
 		pthread_mutex_lock(&rq->acct->lock);
-		f.share_ok = share_take(&rq->acct->share, rq->charged, now,
-					&f.share_retry_ms);
+		f.share_ok = share_take(&rq->acct->share, rq->charged_tokens,
+					now, &f.share_retry_ms);
 		retry_budget_earn(&rq->acct->retries);
 		pthread_mutex_unlock(&rq->acct->lock);
 		ent_share_ask_now(en, rq->acct, !f.share_ok);
 		if (!f.share_ok)
-			rq->charged = 0;
+			rq->charged_tokens = 0;
 		r = admit_decide(&f);
 	}
 	if (r.verdict == ADMIT_REFUSE) {
@@ -159,7 +159,7 @@
 	ent_req_open(rq);
 	atomic_fetch_add(&rq->acct->in_flight, 1);
 	pthread_mutex_lock(&rq->lock);
-	rq->first_wait_ms = now + WAIT_BATCH * f.wait_limit_ms;
+	rq->start_by_ms = now + WAIT_BATCH * f.wait_limit_ms;
 	if (r.verdict == ADMIT_GO) {
 		ent_route_and_call(rq);
 	} else if (!enqueue(rq,
@@ -217,7 +217,7 @@
 	return room;
 }
 
-void ent_drain_queue(struct entry *en, struct ent_model *m)
+void ent_dispatch_queue(struct entry *en, struct ent_model *m)
 {
 	drop_expired(en, m);
 	while (has_room(en, m)) {
--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -25,8 +25,8 @@
 	hsv_problem(rq, status, extra, title, detail);
 }
 
-void ent_not_run(struct entry *en, struct hsv_request *rq, int status,
-		 const char *title, const char *detail)
+void ent_refuse_not_run(struct entry *en, struct hsv_request *rq, int status,
+			const char *title, const char *detail)
 {
 	ent_refuse(en, rq, status, "not-run", 0, title, detail);
 }
@@ -271,10 +271,11 @@
 		go = !lost && serve_batch(w, &t);
 		ent_free_batch(&t);
 		if (lost)
-			end_lost(w, f->vt == &ent_local_vt);
+			end_lost(w, f->vt == &ent_local_feed_vtable);
 		if (!go)
 			break;
-		if (atomic_load(&w->en->releasing) && f->vt == &ent_remote_vt) {
+		if (atomic_load(&w->en->releasing) &&
+		    f->vt == &ent_remote_feed_vtable) {
 			end_lost(w, true);
 			break;
 		}
@@ -295,7 +296,7 @@
 
 void ent_serve_local(struct ent_writer *w, struct ent_req *rq)
 {
-	struct ent_local_feed f = { { &ent_local_vt, w->en }, rq };
+	struct ent_local_feed f = { { &ent_local_feed_vtable, w->en }, rq };
 
 	ent_serve(w, &f.feed);
 }
@@ -303,7 +304,7 @@
 void ent_serve_remote(struct ent_writer *w, const struct ent_req *rq,
 		      uint64_t winner)
 {
-	struct ent_remote_feed f = { .feed = { &ent_remote_vt, w->en },
+	struct ent_remote_feed f = { .feed = { &ent_remote_feed_vtable, w->en },
 				     .view = rq->slot_view,
 				     .slot = rq->slot,
 				     .winner = winner };
--- a/lib/entry/ent_answer.h
+++ b/lib/entry/ent_answer.h
@@ -61,8 +61,8 @@
 	struct ent_req *local; /* the copy here, after taking it over */
 };
 
-extern const struct ent_feed_vtable ent_local_vt;
-extern const struct ent_feed_vtable ent_remote_vt;
+extern const struct ent_feed_vtable ent_local_feed_vtable;
+extern const struct ent_feed_vtable ent_remote_feed_vtable;
 
 struct ent_writer {
 	struct entry *en;
@@ -81,8 +81,8 @@
 void ent_refuse(struct entry *en, struct hsv_request *rq, int status,
 		const char *run, int64_t retry_ms, const char *title,
 		const char *detail);
-void ent_not_run(struct entry *en, struct hsv_request *rq, int status,
-		 const char *title, const char *detail);
+void ent_refuse_not_run(struct entry *en, struct hsv_request *rq, int status,
+			const char *title, const char *detail);
 
 /* Where the caller's Last-Event-ID says that it is. */
 void ent_parse_last_event(const struct hsv_request *rq, struct ent_writer *w);
--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -24,7 +24,8 @@
 
 /* ---- Answering ---- */
 
-struct judge_reply ent_judge_ask(struct entry *en, const struct judge_ask *ask)
+struct judge_reply ent_judge_decide(struct entry *en,
+				    const struct judge_ask *ask)
 {
 	struct judge_reply r;
 
@@ -181,7 +182,7 @@
 static void ask_self(struct ballot *b, unsigned place,
 		     const struct judge_ask *ask)
 {
-	const struct judge_reply r = ent_judge_ask(b->en, ask);
+	const struct judge_reply r = ent_judge_decide(b->en, ask);
 
 	pthread_mutex_lock(&b->lock);
 	settle(b, place, &r);
@@ -226,9 +227,10 @@
 	a->place = place;
 	a->with_record = with_record;
 	a->at_reserve = at_reserve;
-	c = ent_call(t->who.peer, PEER_CLAIM, (xdrproc_t)xdr_peer_claim_args,
-		     args, (xdrproc_t)xdr_peer_claim_reply,
-		     sizeof(peer_claim_reply), ASK_MS);
+	c = ent_prepare_call(t->who.peer, PEER_CLAIM,
+			     (xdrproc_t)xdr_peer_claim_args, args,
+			     (xdrproc_t)xdr_peer_claim_reply,
+			     sizeof(peer_claim_reply), ASK_MS);
 	c.done = on_answer;
 	c.arg = a;
 	pthread_mutex_lock(&b->lock);
@@ -407,8 +409,8 @@
 		str_copy(h->rq->holder, h->address, sizeof(h->rq->holder));
 		h->rq->holder_place = h->place;
 		h->rq->tried_places = 0;
-		h->rq->copied = 0;
-		ent_copy_soon(h->rq);
+		h->rq->copied_tokens = 0;
+		ent_queue_copy(h->rq);
 	} else {
 		h->rq->tried_places |= 1u << h->place;
 	}
@@ -428,7 +430,7 @@
 		places |= 1u << rq->holder_place;
 	/* It may be dead for a while before membership says so. */
 	for (i = 0; i < b->nr; i++) {
-		if (b->judge[i].who.id == rq->former_owner)
+		if (b->judge[i].who.id == rq->previous_owner)
 			places |= 1u << i;
 	}
 	return places;
@@ -446,7 +448,7 @@
 		place = choose_holder(en, b, useless_places(rq, b));
 		if (place < 0)
 			rq->tried_places = 0;
-		rq->rehome_ms = ent_now(en) + REHOME_RETRY_MS;
+		rq->next_rehome_ms = ent_now(en) + REHOME_RETRY_MS;
 		pthread_mutex_unlock(&rq->lock);
 	}
 	if (place >= 0) {
@@ -478,8 +480,9 @@
 	args->birth_ms = rq->birth_ms;
 	ent_fill_record(rq, &args->record);
 	ent_req_get(rq);
-	c = ent_call(h->address, PEER_HOLD, (xdrproc_t)xdr_peer_hold_args, args,
-		     (xdrproc_t)xdr_bool, sizeof(bool_t), ASK_MS);
+	c = ent_prepare_call(h->address, PEER_HOLD,
+			     (xdrproc_t)xdr_peer_hold_args, args,
+			     (xdrproc_t)xdr_bool, sizeof(bool_t), ASK_MS);
 	c.done = on_rehomed;
 	c.arg = h;
 	if (!links_send(en->links, &c)) {
@@ -490,9 +493,9 @@
 
 /* ---- Finding what others know of a key ---- */
 
-size_t ent_locate(struct entry *en, uint64_t view, unsigned slot,
-		  uint64_t winner, char out[5][SET_ADDR_MAX],
-		  bool *winner_first)
+size_t ent_key_addresses(struct entry *en, uint64_t view, unsigned slot,
+			 uint64_t winner, char out[5][SET_ADDR_MAX],
+			 bool *winner_first)
 {
 	const struct ent_member *w;
 	const struct ent_snap *s;
@@ -506,7 +509,7 @@
 	w = ent_snap_member(s, winner);
 	*winner_first = w && winner != en->self.id;
 	if (*winner_first)
-		str_copy(out[n++], w->who.peer, SET_ADDR_MAX);
+		str_copy(out[n++], w->info.peer, SET_ADDR_MAX);
 	for (i = 0; v && i < v->slots[slot].nr_judges; i++) {
 		const struct view_member *m =
 			&v->members[v->slots[slot].judge[i]];
@@ -614,8 +617,9 @@
 	ent_fill_head(en, &a->head);
 	a->view = v->number;
 	fill_votes(a, votes, n);
-	c = ent_call(reserve->peer, PEER_ADOPT, (xdrproc_t)xdr_peer_adopt_args,
-		     a, (xdrproc_t)xdr_bool, sizeof(bool_t), HAND_ON_MS);
+	c = ent_prepare_call(reserve->peer, PEER_ADOPT,
+			     (xdrproc_t)xdr_peer_adopt_args, a,
+			     (xdrproc_t)xdr_bool, sizeof(bool_t), HAND_ON_MS);
 	if (links_call(en->links, &c, &ok, &e))
 		return false;
 	log_line(LOG_LEVEL_INFO, "claim",
@@ -659,7 +663,7 @@
 	return n;
 }
 
-void ent_hand_on_votes(struct entry *en)
+void ent_transfer_votes(struct entry *en)
 {
 	struct view *views[ENT_MAX_VIEWS];
 	size_t n, i, m;
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -56,8 +56,8 @@
 	return same;
 }
 
-bool ent_take_record(struct entry *en, const peer_record *r, uint64_t view,
-		     unsigned slot, int64_t birth_ms)
+bool ent_store_record(struct entry *en, const peer_record *r, uint64_t view,
+		      unsigned slot, int64_t birth_ms)
 {
 	struct ent_req *rq, *there;
 	bool taken;
@@ -94,14 +94,14 @@
 	return taken;
 }
 
-bool ent_hold(struct entry *en, const peer_hold_args *a)
+bool ent_become_holder(struct entry *en, const peer_hold_args *a)
 {
 	struct ent_req *rq = ent_req_find(en, a->record.key);
 	bool held;
 
 	if (!rq)
-		return ent_take_record(en, &a->record, a->view, a->slot,
-				       a->birth_ms);
+		return ent_store_record(en, &a->record, a->view, a->slot,
+					a->birth_ms);
 	pthread_mutex_lock(&rq->lock);
 	held = rq->role == ENT_HOLDER && rq->flow.phase != FLOW_DONE &&
 	       !strcmp(rq->account, a->record.account);
@@ -117,13 +117,13 @@
 
 /* ---- Sending ---- */
 
-void ent_copy_soon(struct ent_req *rq)
+void ent_queue_copy(struct ent_req *rq)
 {
-	if (rq->role != ENT_OWNER || rq->in_copier)
+	if (rq->role != ENT_OWNER || rq->in_copy_queue)
 		return;
 	ent_req_get(rq);
 	if (ring_push(rq->en->copies, rq)) {
-		rq->in_copier = true;
+		rq->in_copy_queue = true;
 		return;
 	}
 	/* Full: the next token or the end asks again. */
@@ -147,7 +147,7 @@
 static void fill_update(struct ent_req *rq, peer_update *u)
 {
 	const struct flow *f = &rq->flow;
-	uint32_t from = rq->copied;
+	uint32_t from = rq->copied_tokens;
 
 	if (from > f->tokens)
 		from = f->tokens;
@@ -168,7 +168,7 @@
 		memcpy(u->result.result_val, rq->result, rq->result_len);
 		u->result.result_len = (u_int)rq->result_len;
 	}
-	rq->copied = f->tokens;
+	rq->copied_tokens = f->tokens;
 }
 
 struct batch {
@@ -192,13 +192,13 @@
 		pthread_mutex_lock(&rq->lock);
 		if (why != ERR_NONE) {
 			met_inc(b->en->m.copy_failed);
-			rq->copied = 0;
+			rq->copied_tokens = 0;
 			rehome = !strcmp(rq->holder, b->holder);
 		} else if (!*all) {
 			/* It has not all that came before: from the start. */
-			rq->copied = 0;
+			rq->copied_tokens = 0;
 		} else if (rq->flow.phase == FLOW_DONE) {
-			rq->final_copied = true;
+			rq->end_copied = true;
 		}
 		pthread_mutex_unlock(&rq->lock);
 		if (rehome)
@@ -210,10 +210,10 @@
 
 static void send_batch(struct batch *b)
 {
-	struct link_call c = ent_call(b->holder, PEER_UPDATE,
-				      (xdrproc_t)xdr_peer_update_args, b->args,
-				      (xdrproc_t)xdr_bool, sizeof(bool_t),
-				      UPDATE_MS);
+	struct link_call c = ent_prepare_call(b->holder, PEER_UPDATE,
+					      (xdrproc_t)xdr_peer_update_args,
+					      b->args, (xdrproc_t)xdr_bool,
+					      sizeof(bool_t), UPDATE_MS);
 	size_t i;
 
 	c.done = on_copied;
@@ -222,7 +222,7 @@
 		return;
 	for (i = 0; i < b->nr; i++) {
 		pthread_mutex_lock(&b->rq[i]->lock);
-		b->rq[i]->copied = 0;
+		b->rq[i]->copied_tokens = 0;
 		pthread_mutex_unlock(&b->rq[i]->lock);
 		ent_req_put(b->rq[i]);
 	}
@@ -261,9 +261,9 @@
 
 	pthread_mutex_lock(&rq->lock);
 	lacks = !*rq->holder;
-	due = lacks && now >= rq->rehome_ms;
+	due = lacks && now >= rq->next_rehome_ms;
 	if (lacks)
-		rq->in_copier = false;
+		rq->in_copy_queue = false;
 	pthread_mutex_unlock(&rq->lock);
 	if (due)
 		ent_rehome(en, rq);
@@ -284,7 +284,7 @@
 			continue;
 		}
 		pthread_mutex_lock(&rq->lock);
-		rq->in_copier = false;
+		rq->in_copy_queue = false;
 		b = batch_for(en, open, &nr, MAX_OPEN, rq->holder);
 		if (b) {
 			fill_update(rq, &b->args->updates.updates_val[b->nr]);
@@ -352,7 +352,7 @@
 	pthread_cond_broadcast(&rq->changed);
 }
 
-bool ent_take_update(struct entry *en, const peer_update *u)
+bool ent_apply_update(struct entry *en, const peer_update *u)
 {
 	struct ent_req *rq = ent_req_find(en, u->key);
 	bool ok = false, release = false;
@@ -396,7 +396,7 @@
 static void end_prompt_missing(struct ent_req *rq)
 {
 	rq->status = 502;
-	ent_do(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
+	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
 static char *prompt_of(const char *body)
@@ -425,7 +425,7 @@
 	a.attempt = old.attempt;
 	a.from = old.tokens;
 	a.at_ms = ent_now(rq->en);
-	ent_do(rq, a);
+	ent_do_action(rq, a);
 }
 
 void ent_take_over(struct entry *en, struct ent_req *rq)
@@ -436,7 +436,7 @@
 		return;
 	}
 	rq->role = ENT_OWNER;
-	rq->former_owner = rq->owner;
+	rq->previous_owner = rq->owner;
 	rq->owner = en->self.id;
 	ent_req_open(rq);
 	met_inc(en->m.takeovers);
@@ -482,14 +482,15 @@
 		ent_take_over(en, rq);
 }
 
-void ent_take_over_dead(struct entry *en)
+void ent_take_over_from_dead(struct entry *en)
 {
 	ent_req_each(en, take_over_if_dead, en);
 }
 
 /* ---- Answering a peer that has the caller ---- */
 
-void ent_fetch(struct entry *en, const peer_fetch_args *a, peer_fetch_reply *r)
+void ent_serve_fetch(struct entry *en, const peer_fetch_args *a,
+		     peer_fetch_reply *r)
 {
 	struct ent_req *rq = ent_req_find(en, a->key);
 	uint32_t from = a->from;
--- a/lib/entry/ent_dispatch.c
+++ b/lib/entry/ent_dispatch.c
@@ -96,7 +96,7 @@
 
 	pthread_mutex_lock(&rq->lock);
 	if (rq->role == ENT_OWNER && !rq->plain && rq->mod)
-		ent_do(rq, flow_tick(&rq->flow, ent_now(en)));
+		ent_do_action(rq, flow_tick(&rq->flow, ent_now(en)));
 	pthread_mutex_unlock(&rq->lock);
 }
 
@@ -115,7 +115,7 @@
 		for (; c; c = ring_pop(en->commands, 0))
 			cds_list_add_tail(&c->node, &waiting);
 		run_due(en, &waiting);
-		each_model(en, ent_drain_queue);
+		each_model(en, ent_dispatch_queue);
 		now = ent_now(en);
 		if (now - polled >= POLL_MS) {
 			polled = now;
--- a/lib/entry/ent_feed.c
+++ b/lib/entry/ent_feed.c
@@ -80,7 +80,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-const struct ent_feed_vtable ent_local_vt = { local_next };
+const struct ent_feed_vtable ent_local_feed_vtable = { local_next };
 
 static bool fetch(struct ent_remote_feed *r, const char *address, bool lost,
 		  uint32_t gen, uint32_t offset, peer_fetch_reply *out)
@@ -95,8 +95,10 @@
 	a->gen = gen;
 	a->from = offset;
 	a->owner_lost = lost;
-	c = ent_call(address, PEER_FETCH, (xdrproc_t)xdr_peer_fetch_args, a,
-		     (xdrproc_t)xdr_peer_fetch_reply, sizeof(*out), FETCH_MS);
+	c = ent_prepare_call(address, PEER_FETCH,
+			     (xdrproc_t)xdr_peer_fetch_args, a,
+			     (xdrproc_t)xdr_peer_fetch_reply, sizeof(*out),
+			     FETCH_MS);
 	return !links_call(r->feed.en->links, &c, out, &e);
 }
 
@@ -202,8 +204,8 @@
 {
 	struct search s = { .nr = 0 };
 
-	s.nr = ent_locate(r->feed.en, r->view, r->slot, r->winner, s.where,
-			  &s.winner_first);
+	s.nr = ent_key_addresses(r->feed.en, r->view, r->slot, r->winner,
+				 s.where, &s.winner_first);
 	if (ask_all(r, &s, false, gen, offset, out))
 		return true;
 	if (!r->winner || s.winner_answers)
@@ -213,7 +215,7 @@
 
 bool ent_find_remote(struct entry *en, const struct ent_req *rq)
 {
-	struct ent_remote_feed f = { .feed = { &ent_remote_vt, en },
+	struct ent_remote_feed f = { .feed = { &ent_remote_feed_vtable, en },
 				     .view = rq->slot_view,
 				     .slot = rq->slot };
 	struct ent_batch found = { .nr = 0 };
@@ -230,7 +232,8 @@
 			struct ent_batch *out)
 {
 	struct ent_remote_feed *r = (struct ent_remote_feed *)f;
-	struct ent_local_feed here = { { &ent_local_vt, f->en }, r->local };
+	struct ent_local_feed here = { { &ent_local_feed_vtable, f->en },
+				       r->local };
 	const int64_t now = ent_now(f->en);
 	peer_fetch_reply p;
 
@@ -270,4 +273,4 @@
 	clk_sleep_ms(5 * FETCH_GAP_MS);
 }
 
-const struct ent_feed_vtable ent_remote_vt = { remote_next };
+const struct ent_feed_vtable ent_remote_feed_vtable = { remote_next };
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -62,8 +62,9 @@
 	if (r)
 		return true;
 	met_inc(en->m.denied);
-	ent_not_run(en, rq, 401, "Unknown account",
-		    "send the account's key as: Authorization: Bearer KEY");
+	ent_refuse_not_run(
+		en, rq, 401, "Unknown account",
+		"send the account's key as: Authorization: Bearer KEY");
 	return false;
 }
 
@@ -97,13 +98,13 @@
 	s = ent_snap(en);
 	for (i = 0; i < s->nr_members; i++) {
 		const struct ent_member *m = &s->members[i];
-		struct listed l = { .near = !strcmp(m->who.zone, zone) };
+		struct listed l = { .near = !strcmp(m->info.zone, zone) };
 
 		if (m->state != SWIM_ALIVE)
 			continue;
-		l.weight = hsh_rendezvous(key, m->who.id);
-		str_copy(l.http, m->who.http, sizeof(l.http));
-		str_copy(l.zone, m->who.zone, sizeof(l.zone));
+		l.weight = hsh_rendezvous(key, m->info.id);
+		str_copy(l.http, m->info.http, sizeof(l.http));
+		str_copy(l.zone, m->info.zone, sizeof(l.zone));
 		if (n < LISTED)
 			best[n++] = l;
 		else if (by_weight(&l, &best[n - 1]) < 0)
@@ -162,15 +163,16 @@
 
 	if (!*given || !grant_has_form(given)) {
 		if (*given && (!repeatable || strlen(given) > 64)) {
-			ent_not_run(
+			ent_refuse_not_run(
 				en, c->rq, 400, "Key without a grant",
 				"calls that may not be repeated need a key "
 				"GRANT.SUFFIX with a grant from /v1/entries");
 			return false;
 		}
 		if (!ent_new_grant(en, &g)) {
-			ent_not_run(en, c->rq, 503, "Not ready",
-				    "there is no view of the entries yet");
+			ent_refuse_not_run(
+				en, c->rq, 503, "Not ready",
+				"there is no view of the entries yet");
 			return false;
 		}
 		grant_print(&g, c->account, en->set.grant_secret, text);
@@ -186,8 +188,9 @@
 	} else {
 		if (grant_parse(given, c->account, en->set.grant_secret, &g,
 				&e)) {
-			ent_not_run(en, c->rq, e.code == ERR_DENIED ? 403 : 400,
-				    "Grant not valid", e.text);
+			ent_refuse_not_run(en, c->rq,
+					   e.code == ERR_DENIED ? 403 : 400,
+					   "Grant not valid", e.text);
 			return false;
 		}
 		str_copy(key, given, sizeof(key));
@@ -292,7 +295,7 @@
 	rq->ended_ms = ent_now(rq->en);
 	free(rq->body);
 	rq->body = NULL;
-	ent_copy_soon(rq);
+	ent_queue_copy(rq);
 	pthread_cond_broadcast(&rq->changed);
 	pthread_mutex_unlock(&rq->lock);
 	met_inc(rq->en->m.not_run);
@@ -318,8 +321,9 @@
 		owner = there->owner;
 		pthread_mutex_unlock(&there->lock);
 		if (strcmp(there->account, rq->account))
-			ent_not_run(en, c->rq, 403, "Not yours",
-				    "the key belongs to another account");
+			ent_refuse_not_run(
+				en, c->rq, 403, "Not yours",
+				"the key belongs to another account");
 		else if (role == ENT_OWNER)
 			ent_serve_local(w, there);
 		else
@@ -358,8 +362,9 @@
 
 	memset(p, 0, sizeof(*p));
 	if (!o || !json_object_is_type(o, json_type_object)) {
-		ent_not_run(c->en, c->rq, 400, "Body is not a JSON object",
-			    "see POST /v1/completions in docs/INTERFACES.md");
+		ent_refuse_not_run(
+			c->en, c->rq, 400, "Body is not a JSON object",
+			"see POST /v1/completions in docs/INTERFACES.md");
 		return false;
 	}
 	str_copy(p->model, jsn_str(o, "model", ""), sizeof(p->model));
@@ -371,11 +376,12 @@
 	p->max_tokens = jsn_int(o, "max_tokens", DEFAULT_MAX_TOKENS);
 	p->stream = jsn_bool(o, "stream", false);
 	if (!prompt || p->max_tokens < 1 || p->max_tokens > 1000000) {
-		ent_not_run(c->en, c->rq, 400, "Body incomplete",
-			    chat ? "\"messages\" and \"max_tokens\" from 1 to "
-				   "1000000 are expected"
-				 : "\"prompt\" and \"max_tokens\" from 1 to "
-				   "1000000 are expected");
+		ent_refuse_not_run(
+			c->en, c->rq, 400, "Body incomplete",
+			chat ? "\"messages\" and \"max_tokens\" from 1 to "
+			       "1000000 are expected"
+			     : "\"prompt\" and \"max_tokens\" from 1 to "
+			       "1000000 are expected");
 		return false;
 	}
 	p->prompt = mem_dup(json_object_get_string(prompt));
@@ -401,9 +407,9 @@
 	pub_read_unlock();
 	if (found && adapter_ok)
 		return true;
-	ent_not_run(c->en, c->rq, 404,
-		    found ? "No such adapter" : "No such model",
-		    found ? p->adapter : p->model);
+	ent_refuse_not_run(c->en, c->rq, 404,
+			   found ? "No such adapter" : "No such model",
+			   found ? p->adapter : p->model);
 	return false;
 }
 
@@ -488,7 +494,8 @@
 	}
 	pub_read_unlock();
 	if (!p)
-		ent_not_run(c->en, c->rq, 404, "No such plain service", name);
+		ent_refuse_not_run(c->en, c->rq, 404, "No such plain service",
+				   name);
 	return p != NULL;
 }
 
@@ -496,8 +503,8 @@
 {
 	struct admit_facts f = {
 		.draining = atomic_load(&c->en->releasing),
-		.cut_off = ent_cut_off(c->en),
-		.in_flight = atomic_load(&c->en->running),
+		.cut_off = ent_is_cut_off(c->en),
+		.in_flight = atomic_load(&c->en->nr_open),
 		.max_in_flight = (size_t)c->en->set.in_flight,
 		.account_in_flight = atomic_load(&rq->acct->in_flight),
 		.account_max_in_flight = c->in_flight,
--- a/lib/entry/ent_member.c
+++ b/lib/entry/ent_member.c
@@ -75,9 +75,9 @@
 	h->boot = en->self.boot;
 }
 
-struct link_call ent_call(const char *address, uint32_t proc, xdrproc_t xa,
-			  void *args, xdrproc_t xr, size_t size,
-			  int64_t timeout_ms)
+struct link_call ent_prepare_call(const char *address, uint32_t proc,
+				  xdrproc_t xa, void *args, xdrproc_t xr,
+				  size_t size, int64_t timeout_ms)
 {
 	const struct link_call c = {
 		.address = address,
@@ -127,7 +127,7 @@
 {
 	struct fresh_item *f;
 
-	cds_list_for_each_entry(f, &en->fresh, node) {
+	cds_list_for_each_entry(f, &en->recent_items, node) {
 		if (!strcmp(f->name, name)) {
 			f->rounds = OFFER_ROUNDS;
 			f->next_ms = 0;
@@ -139,11 +139,12 @@
 	str_copy(f->name, name, sizeof(f->name));
 	f->rounds = OFFER_ROUNDS;
 	f->since_ms = now;
-	cds_list_add(&f->node, &en->fresh);
+	cds_list_add(&f->node, &en->recent_items);
 }
 
-enum spread_verdict ent_item(struct entry *en, const char *name, uint64_t rev,
-			     const void *body, size_t len, int64_t ttl_ms)
+enum spread_verdict ent_put_item(struct entry *en, const char *name,
+				 uint64_t rev, const void *body, size_t len,
+				 int64_t ttl_ms)
 {
 	const int64_t now = ent_now(en);
 	enum spread_verdict v;
@@ -166,7 +167,7 @@
 		 * item is in the table, and the next revision or the sweep at
 		 * the next start finds it. It must not pass unseen.
 		 */
-		if (!ring_push(en->arrived, copy)) {
+		if (!ring_push(en->changed_items, copy)) {
 			ent_alarm(en, "items-ring-full", name);
 			free(copy);
 		}
@@ -219,9 +220,9 @@
 				      now);
 	}
 	pthread_mutex_unlock(&en->member_lock);
-	c = ent_call(address, PEER_GIVE, (xdrproc_t)xdr_peer_give_args, a,
-		     (xdrproc_t)xdr_peer_give_reply, sizeof(peer_give_reply),
-		     2 * PEER_TIMEOUT_MS);
+	c = ent_prepare_call(address, PEER_GIVE, (xdrproc_t)xdr_peer_give_args,
+			     a, (xdrproc_t)xdr_peer_give_reply,
+			     sizeof(peer_give_reply), 2 * PEER_TIMEOUT_MS);
 	links_send(en->links, &c);
 }
 
@@ -266,9 +267,10 @@
 		p->body_hash = it->body_hash;
 	}
 	pthread_mutex_unlock(&en->member_lock);
-	c = ent_call(address, PEER_OFFER, (xdrproc_t)xdr_peer_offer_args, a,
-		     (xdrproc_t)xdr_peer_offer_reply, sizeof(peer_offer_reply),
-		     PEER_TIMEOUT_MS);
+	c = ent_prepare_call(address, PEER_OFFER,
+			     (xdrproc_t)xdr_peer_offer_args, a,
+			     (xdrproc_t)xdr_peer_offer_reply,
+			     sizeof(peer_offer_reply), PEER_TIMEOUT_MS);
 	c.done = on_offer;
 	c.arg = x;
 	if (!links_send(en->links, &c))
@@ -282,7 +284,7 @@
 	struct fresh_item *f, *tmp;
 	size_t n = 0;
 
-	cds_list_for_each_entry_safe(f, tmp, &en->fresh, node) {
+	cds_list_for_each_entry_safe(f, tmp, &en->recent_items, node) {
 		if (f->rounds && now >= f->next_ms && n < max) {
 			str_copy(names[n++], f->name, SPREAD_NAME_MAX);
 			f->next_ms = now + OFFER_GAP_MS;
@@ -317,9 +319,9 @@
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		ent_item(en, items[i].name, items[i].rev,
-			 items[i].body.body_val, items[i].body.body_len,
-			 items[i].ttl_ms);
+		ent_put_item(en, items[i].name, items[i].rev,
+			     items[i].body.body_val, items[i].body.body_len,
+			     items[i].ttl_ms);
 }
 
 static void on_sync(enum err_code why, const void *result, void *arg)
@@ -337,13 +339,13 @@
 }
 
 /* The names of what came in force a moment ago. Lock held. */
-void ent_recent(struct entry *en, peer_name **out, u_int *len)
+void ent_list_recent(struct entry *en, peer_name **out, u_int *len)
 {
 	struct fresh_item *f;
 
 	*out = mem_new(PEER_RECENT * sizeof(**out));
 	*len = 0;
-	cds_list_for_each_entry(f, &en->fresh, node) {
+	cds_list_for_each_entry(f, &en->recent_items, node) {
 		const struct spread_item *it = spread_get(en->spread, f->name);
 
 		if (*len == PEER_RECENT)
@@ -397,9 +399,9 @@
 	}
 	p = mem_new(sizeof(*p));
 	p->en = en;
-	c = ent_call(address, PEER_PULL, (xdrproc_t)xdr_peer_offer_args, a,
-		     (xdrproc_t)xdr_peer_give_args, sizeof(peer_give_args),
-		     PEER_TIMEOUT_MS);
+	c = ent_prepare_call(address, PEER_PULL, (xdrproc_t)xdr_peer_offer_args,
+			     a, (xdrproc_t)xdr_peer_give_args,
+			     sizeof(peer_give_args), PEER_TIMEOUT_MS);
 	c.done = on_pull;
 	c.arg = p;
 	if (!links_send(en->links, &c))
@@ -436,9 +438,9 @@
 
 	x->en = en;
 	str_copy(x->address, address, sizeof(x->address));
-	c = ent_call(address, PEER_SYNC, (xdrproc_t)xdr_peer_offer_args,
-		     all_names(en), (xdrproc_t)xdr_peer_sync_reply,
-		     sizeof(peer_sync_reply), 3 * PEER_TIMEOUT_MS);
+	c = ent_prepare_call(address, PEER_SYNC, (xdrproc_t)xdr_peer_offer_args,
+			     all_names(en), (xdrproc_t)xdr_peer_sync_reply,
+			     sizeof(peer_sync_reply), 3 * PEER_TIMEOUT_MS);
 	c.done = on_sync;
 	c.arg = x;
 	if (!links_send(en->links, &c))
@@ -479,8 +481,10 @@
 
 	ent_fill_head(en, &a->head);
 	a->target = target;
-	c = ent_call(address, PEER_VOUCH, (xdrproc_t)xdr_peer_vouch_args, a,
-		     (xdrproc_t)xdr_bool, sizeof(bool_t), PEER_TIMEOUT_MS);
+	c = ent_prepare_call(address, PEER_VOUCH,
+			     (xdrproc_t)xdr_peer_vouch_args, a,
+			     (xdrproc_t)xdr_bool, sizeof(bool_t),
+			     PEER_TIMEOUT_MS);
 	links_send(en->links, &c);
 }
 
@@ -545,7 +549,7 @@
 	a->digest = spread_digest(en->spread);
 	/* One that is met for the first time tells us all it knows. */
 	a->joining = !*target->name;
-	ent_recent(en, &a->recent.recent_val, &a->recent.recent_len);
+	ent_list_recent(en, &a->recent.recent_val, &a->recent.recent_len);
 	n = swim_take_deltas(en->swim, d, DELTAS_PER_PROBE);
 	/* A suspected one is told, so that it can refute. */
 	if (swim_lookup(en->swim, target->id, &d[n]) &&
@@ -553,9 +557,10 @@
 		n++;
 	pthread_mutex_unlock(&en->member_lock);
 	ent_write_deltas(d, n, &a->deltas.deltas_val, &a->deltas.deltas_len);
-	c = ent_call(target->peer, PEER_PING, (xdrproc_t)xdr_peer_ping_args, a,
-		     (xdrproc_t)xdr_peer_ping_reply, sizeof(peer_ping_reply),
-		     PROBE_TIMEOUT_MS);
+	c = ent_prepare_call(target->peer, PEER_PING,
+			     (xdrproc_t)xdr_peer_ping_args, a,
+			     (xdrproc_t)xdr_peer_ping_reply,
+			     sizeof(peer_ping_reply), PROBE_TIMEOUT_MS);
 	c.done = on_ping;
 	c.arg = p;
 	if (!links_send(en->links, &c))
@@ -573,10 +578,10 @@
 		ent_fill_head(en, &a->head);
 		a->asker = mem_dup(en->self.peer);
 		ent_fill_member(&act->target, &a->target);
-		c = ent_call(act->helpers[i].peer, PEER_HELP,
-			     (xdrproc_t)xdr_peer_help_args, a,
-			     (xdrproc_t)xdr_bool, sizeof(bool_t),
-			     PEER_TIMEOUT_MS);
+		c = ent_prepare_call(act->helpers[i].peer, PEER_HELP,
+				     (xdrproc_t)xdr_peer_help_args, a,
+				     (xdrproc_t)xdr_bool, sizeof(bool_t),
+				     PEER_TIMEOUT_MS);
 		links_send(en->links, &c);
 	}
 }
@@ -616,19 +621,20 @@
 		const int64_t serial = jsn_int(o, "serial", 0);
 
 		if (serial > 0)
-			ent_item(en, pairs.rows[i].key + strlen("/marldock/"),
-				 (uint64_t)serial, pairs.rows[i].value,
-				 pairs.rows[i].len, 0);
+			ent_put_item(en,
+				     pairs.rows[i].key + strlen("/marldock/"),
+				     (uint64_t)serial, pairs.rows[i].value,
+				     pairs.rows[i].len, 0);
 	}
 	return true;
 }
 
 static bool read_from_peer(struct entry *en, const char *address)
 {
-	struct link_call c =
-		ent_call(address, PEER_SYNC, (xdrproc_t)xdr_peer_offer_args,
-			 all_names(en), (xdrproc_t)xdr_peer_sync_reply,
-			 sizeof(peer_sync_reply), PEER_TIMEOUT_MS);
+	struct link_call c = ent_prepare_call(
+		address, PEER_SYNC, (xdrproc_t)xdr_peer_offer_args,
+		all_names(en), (xdrproc_t)xdr_peer_sync_reply,
+		sizeof(peer_sync_reply), PEER_TIMEOUT_MS);
 	struct err e = ERR_INIT;
 	peer_sync_reply r;
 
@@ -639,7 +645,7 @@
 	return true;
 }
 
-bool ent_start_up(struct entry *en)
+bool ent_bootstrap(struct entry *en)
 {
 	size_t i, peers = 0;
 	bool kv;
@@ -661,7 +667,7 @@
  * Cut off from the service and from all peers, this entry cannot know whether
  * its documents are still in force, so beyond a bound it takes no new work.
  */
-bool ent_cut_off(struct entry *en)
+bool ent_is_cut_off(struct entry *en)
 {
 	const int64_t now = ent_now(en);
 	int64_t last;
@@ -680,8 +686,8 @@
 {
 	char *name;
 
-	while ((name = ring_pop(en->arrived, 0))) {
-		ent_act_on_item(en, name);
+	while ((name = ring_pop(en->changed_items, 0))) {
+		ent_apply_item(en, name);
 		free(name);
 	}
 }
@@ -697,7 +703,7 @@
 		return;
 	en->seen_epoch = epoch;
 	ent_publish(en);
-	ent_take_over_dead(en);
+	ent_take_over_from_dead(en);
 }
 
 static void every_second(struct entry *en, int64_t now)
@@ -723,14 +729,14 @@
 static void retry_start(struct entry *en)
 {
 	if (!atomic_load(&en->ready))
-		ent_start_up(en);
+		ent_bootstrap(en);
 }
 
 void ent_member_free(struct entry *en)
 {
 	struct fresh_item *f, *tmp;
 
-	cds_list_for_each_entry_safe(f, tmp, &en->fresh, node)
+	cds_list_for_each_entry_safe(f, tmp, &en->recent_items, node)
 		free(f);
 }
 
@@ -739,7 +745,7 @@
 	struct entry *en = arg;
 	int64_t second = 0, retry = 0;
 
-	ent_start_up(en);
+	ent_bootstrap(en);
 	while (!atomic_load(&en->stopping)) {
 		const int64_t now = ent_now(en);
 
--- a/lib/entry/ent_plain.c
+++ b/lib/entry/ent_plain.c
@@ -22,8 +22,8 @@
 static bool better(const struct ent_pool_member *a,
 		   const struct ent_pool_member *b, const char *zone)
 {
-	if (a->own != b->own)
-		return a->own < b->own;
+	if (a->own_open != b->own_open)
+		return a->own_open < b->own_open;
 	return !strcmp(a->zone, zone) && strcmp(b->zone, zone);
 }
 
@@ -39,14 +39,14 @@
 	for (i = 0; i < p->nr && seen < 2; i++) {
 		struct ent_pool_member *m = &p->rows[(start + i) % p->nr];
 
-		if (m->leaving || now < m->avoid_until)
+		if (m->leaving || now < m->avoid_until_ms)
 			continue;
 		seen++;
 		if (!best || better(m, best, en->self.zone))
 			best = m;
 	}
 	if (best) {
-		best->own++;
+		best->own_open++;
 		c->id = best->id;
 		str_copy(c->address, best->address, sizeof(c->address));
 	}
@@ -62,9 +62,9 @@
 	for (i = 0; i < p->nr; i++) {
 		if (p->rows[i].id != id)
 			continue;
-		p->rows[i].own--;
+		p->rows[i].own_open--;
 		if (avoid_until)
-			p->rows[i].avoid_until = avoid_until;
+			p->rows[i].avoid_until_ms = avoid_until;
 	}
 	pthread_mutex_unlock(&p->lock);
 }
--- a/lib/entry/ent_poll.c
+++ b/lib/entry/ent_poll.c
@@ -150,7 +150,7 @@
  */
 void ent_poll_for_request(struct entry *en, struct ent_model *m)
 {
-	atomic_store(&m->used_ms, ent_now(en));
+	atomic_store(&m->last_used_ms, ent_now(en));
 	if (poll_one(en, m, true, POLL_GAP_MS))
 		poll_one(en, m, true, POLL_GAP_MS);
 }
@@ -165,6 +165,6 @@
 		if (!poll_one(en, m, false, POLL_UNREADY_MS))
 			break;
 	}
-	if (ent_now(en) - atomic_load(&m->used_ms) < POLL_USED_MS)
+	if (ent_now(en) - atomic_load(&m->last_used_ms) < POLL_USED_MS)
 		poll_one(en, m, true, POLL_GAP_MS);
 }
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -48,7 +48,7 @@
 		return;
 	buf_free(&rq->text);
 	buf_free(&rq->log);
-	free(rq->ends);
+	free(rq->token_ends);
 	free(rq->body);
 	free(rq->prompt);
 	free(rq->prefix);
@@ -177,7 +177,7 @@
 		rq->open = true;
 		cds_list_add(&rq->open_node, &en->open);
 		ent_req_get(rq);
-		atomic_fetch_add(&en->running, 1);
+		atomic_fetch_add(&en->nr_open, 1);
 	}
 	pthread_mutex_unlock(&en->table_lock);
 }
@@ -192,7 +192,7 @@
 	if (was_open) {
 		rq->open = false;
 		cds_list_del(&rq->open_node);
-		atomic_fetch_sub(&en->running, 1);
+		atomic_fetch_sub(&en->nr_open, 1);
 	}
 	pthread_mutex_unlock(&en->table_lock);
 	/* The caller has a reference of its own. */
@@ -206,9 +206,9 @@
 	rq->stripped = true;
 	buf_free(&rq->text);
 	buf_free(&rq->log);
-	free(rq->ends);
-	rq->ends = NULL;
-	rq->ends_cap = 0;
+	free(rq->token_ends);
+	rq->token_ends = NULL;
+	rq->token_ends_cap = 0;
 	free(rq->result);
 	rq->result = NULL;
 	rq->flow.tokens = 0;
@@ -256,21 +256,24 @@
 	const uint32_t n = rq->flow.tokens;
 
 	/* flow.tokens counts this one already. */
-	if (n > rq->ends_cap) {
-		rq->ends_cap = rq->ends_cap ? 2 * rq->ends_cap : 64;
-		rq->ends = realloc(rq->ends, rq->ends_cap * sizeof(*rq->ends));
-		if (!rq->ends)
+	if (n > rq->token_ends_cap) {
+		rq->token_ends_cap = rq->token_ends_cap ? 2 * rq->token_ends_cap
+							: 64;
+		rq->token_ends =
+			realloc(rq->token_ends,
+				rq->token_ends_cap * sizeof(*rq->token_ends));
+		if (!rq->token_ends)
 			abort();
 	}
 	buf_str(&rq->text, token);
-	rq->ends[n - 1] = (uint32_t)rq->text.len;
+	rq->token_ends[n - 1] = (uint32_t)rq->text.len;
 }
 
 void ent_req_truncate(struct ent_req *rq, uint32_t tokens)
 {
 	if (!rq->text.data)
 		return;
-	rq->text.len = tokens ? rq->ends[tokens - 1] : 0;
+	rq->text.len = tokens ? rq->token_ends[tokens - 1] : 0;
 	rq->text.data[rq->text.len] = '\0';
 }
 
@@ -283,10 +286,11 @@
 	out = mem_new(*n * sizeof(*out));
 	for (i = 0; i < *n; i++) {
 		const uint32_t k = from + i;
-		const uint32_t begin = k ? rq->ends[k - 1] : 0;
+		const uint32_t begin = k ? rq->token_ends[k - 1] : 0;
 
-		out[i] = mem_new(rq->ends[k] - begin + 1);
-		memcpy(out[i], rq->text.data + begin, rq->ends[k] - begin);
+		out[i] = mem_new(rq->token_ends[k] - begin + 1);
+		memcpy(out[i], rq->text.data + begin,
+		       rq->token_ends[k] - begin);
 	}
 	return out;
 }
@@ -327,12 +331,12 @@
 {
 	const double used = rq->prompt_tokens + (double)rq->flow.tokens;
 
-	if (!rq->acct || rq->charged <= used)
+	if (!rq->acct || rq->charged_tokens <= used)
 		return;
 	pthread_mutex_lock(&rq->acct->lock);
-	share_refund(&rq->acct->share, rq->charged - used);
+	share_refund(&rq->acct->share, rq->charged_tokens - used);
 	pthread_mutex_unlock(&rq->acct->lock);
-	rq->charged = used;
+	rq->charged_tokens = used;
 }
 
 void ent_req_end(struct ent_req *rq)
@@ -362,6 +366,6 @@
 	rq->body = NULL;
 	free(rq->prefix);
 	rq->prefix = NULL;
-	ent_copy_soon(rq);
+	ent_queue_copy(rq);
 	pthread_cond_broadcast(&rq->changed);
 }
--- a/lib/entry/ent_rescue.c
+++ b/lib/entry/ent_rescue.c
@@ -85,7 +85,7 @@
 	a = flow_event(&rq->flow, &ev, &fresh, ent_now(rq->en));
 	if (a.kind == FLOW_WAIT)
 		return;
-	ent_do(rq, a);
+	ent_do_action(rq, a);
 	mux_cancel(rq->en->mux, old);
 }
 
@@ -108,19 +108,19 @@
 
 	pthread_mutex_lock(&rq->lock);
 	if (!still_there(rq, m->from)) {
-		rq->leaving_move = false;
+		rq->kv_move_pending = false;
 		pthread_mutex_unlock(&rq->lock);
 		return;
 	}
 	attempt = rq->flow.attempt;
 	ent_stream_id(rq, id, sizeof(id));
-	c = ent_choose(rq, true);
+	c = ent_choose_endpoint(rq, true);
 	pthread_mutex_unlock(&rq->lock);
 	if (c.endpoint && c.has_room && addresses(m, c.endpoint, from, to))
 		ok = !copy_kv(m->en, from, to, id, m->end_ms - ent_now(m->en),
 			      &e);
 	pthread_mutex_lock(&rq->lock);
-	rq->leaving_move = false;
+	rq->kv_move_pending = false;
 	ent_req_log(rq, "move kv=%s reason=\"%s\"", ok ? "moved" : "failed",
 		    e.text);
 	if (rq->flow.attempt != attempt || !still_there(rq, m->from)) {
@@ -170,7 +170,7 @@
 	bool there;
 
 	pthread_mutex_lock(&rq->lock);
-	there = still_there(rq, g->instance) && !rq->leaving_move;
+	there = still_there(rq, g->instance) && !rq->kv_move_pending;
 	pthread_mutex_unlock(&rq->lock);
 	if (!there)
 		return;
@@ -221,9 +221,9 @@
 		m->start_ms = s->start_ms;
 		m->end_ms = end_ms;
 		ent_req_get(rq);
-		rq->leaving_move = true;
+		rq->kv_move_pending = true;
 		if (!ring_push(en->moves, m)) {
-			rq->leaving_move = false;
+			rq->kv_move_pending = false;
 			ent_req_put(rq);
 			free(m);
 			continue_elsewhere(rq, rq->flow.attempt);
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -87,7 +87,7 @@
 		      : swim_take_deltas(serving->swim, d, 8);
 	n = add_own_case(&a.head, d, n);
 	r->digest = spread_digest(serving->spread);
-	ent_recent(serving, &r->recent.recent_val, &r->recent.recent_len);
+	ent_list_recent(serving, &r->recent.recent_val, &r->recent.recent_len);
 	pthread_mutex_unlock(&serving->member_lock);
 	ent_write_deltas(d, n, &r->deltas.deltas_val, &r->deltas.deltas_len);
 	ent_fill_member(&serving->self, &r->who);
@@ -109,9 +109,9 @@
 
 		ent_fill_head(serving, &a->head);
 		a->target = h->target;
-		c = ent_call(h->address, PEER_VOUCH,
-			     (xdrproc_t)xdr_peer_vouch_args, a,
-			     (xdrproc_t)xdr_bool, sizeof(bool_t), 1000);
+		c = ent_prepare_call(h->address, PEER_VOUCH,
+				     (xdrproc_t)xdr_peer_vouch_args, a,
+				     (xdrproc_t)xdr_bool, sizeof(bool_t), 1000);
 		links_send(serving->links, &c);
 	}
 	free(h);
@@ -135,9 +135,10 @@
 	p = mem_new(sizeof(*p));
 	ent_fill_head(serving, &p->head);
 	ent_fill_member(&serving->self, &p->who);
-	c = ent_call(target.peer, PEER_PING, (xdrproc_t)xdr_peer_ping_args, p,
-		     (xdrproc_t)xdr_peer_ping_reply, sizeof(peer_ping_reply),
-		     600);
+	c = ent_prepare_call(target.peer, PEER_PING,
+			     (xdrproc_t)xdr_peer_ping_args, p,
+			     (xdrproc_t)xdr_peer_ping_reply,
+			     sizeof(peer_ping_reply), 600);
 	c.done = on_help;
 	c.arg = h;
 	if (!links_send(serving->links, &c))
@@ -174,13 +175,13 @@
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	str_copy(ask.key, a.key, sizeof(ask.key));
-	reply = ent_judge_ask(serving, &ask);
+	reply = ent_judge_decide(serving, &ask);
 	r->verdict = reply.verdict;
 	r->reason = reply.reason;
 	r->taken_by = reply.taken_by;
 	if (reply.verdict == JUDGE_FIRST && a.record)
-		r->held = ent_take_record(serving, a.record, a.view, a.slot,
-					  a.birth_ms);
+		r->held = ent_store_record(serving, a.record, a.view, a.slot,
+					   a.birth_ms);
 	return TRUE;
 }
 
@@ -188,7 +189,7 @@
 {
 	if (!allowed(&a.head, q))
 		return FALSE;
-	*r = ent_hold(serving, &a);
+	*r = ent_become_holder(serving, &a);
 	return TRUE;
 }
 
@@ -200,7 +201,7 @@
 		return FALSE;
 	*r = TRUE;
 	for (i = 0; i < a.updates.updates_len; i++) {
-		if (!ent_take_update(serving, &a.updates.updates_val[i]))
+		if (!ent_apply_update(serving, &a.updates.updates_val[i]))
 			*r = FALSE;
 	}
 	return TRUE;
@@ -212,7 +213,7 @@
 	if (!allowed(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
-	ent_fetch(serving, &a, r);
+	ent_serve_fetch(serving, &a, r);
 	/* XDR has no NULL strings. */
 	if (!r->finish)
 		r->finish = mem_dup("");
@@ -297,9 +298,9 @@
 	for (i = 0; i < a.items.items_len; i++) {
 		const peer_item *it = &a.items.items_val[i];
 
-		r->verdicts.verdicts_val[i] =
-			ent_item(serving, it->name, it->rev, it->body.body_val,
-				 it->body.body_len, it->ttl_ms);
+		r->verdicts.verdicts_val[i] = ent_put_item(
+			serving, it->name, it->rev, it->body.body_val,
+			it->body.body_len, it->ttl_ms);
 	}
 	return TRUE;
 }
@@ -394,8 +395,8 @@
 	if (!allowed(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
-	r->keeper = ent_share_keep(serving, a.account, a.view, sender(&a.head),
-				   a.demand, a.in_use, &r->rate);
+	r->keeper = ent_share_serve(serving, a.account, a.view, sender(&a.head),
+				    a.demand, a.in_use, &r->rate);
 	return TRUE;
 }
 
@@ -434,9 +435,9 @@
 			"%s{\"name\":\"%s\",\"boot\":%llu,\"zone\":\"%s\","
 			"\"region\":\"%s\",\"http\":\"%s\",\"peer\":\"%s\","
 			"\"state\":%d}",
-			i ? "," : "", m->who.name,
-			(unsigned long long)m->who.boot, m->who.zone,
-			m->who.region, m->who.http, m->who.peer, m->state);
+			i ? "," : "", m->info.name,
+			(unsigned long long)m->info.boot, m->info.zone,
+			m->info.region, m->info.http, m->info.peer, m->state);
 	}
 	buf_str(out, "]}");
 	pub_read_unlock();
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -66,7 +66,7 @@
 	if (kind == FLOW_EV_TOKEN && !fresh)
 		met_inc(rq->en->m.tokens_dropped);
 	if (!fresh || kind != FLOW_EV_TOKEN)
-		ent_do(rq, a);
+		ent_do_action(rq, a);
 	return fresh;
 }
 
@@ -108,7 +108,7 @@
 	if (ev->is_token) {
 		if (tell_flow(rq, FLOW_EV_TOKEN, s->attempt, ev->offset)) {
 			ent_req_append(rq, ev->text);
-			ent_copy_soon(rq);
+			ent_queue_copy(rq);
 			pthread_cond_broadcast(&rq->changed);
 		}
 		s->next = ev->offset + 1;
@@ -151,7 +151,7 @@
 static void end_callers_fault(struct ent_req *rq, int status)
 {
 	rq->status = status;
-	ent_do(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
+	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
 /* What the end of a stream means to the flow. Lock held. */
@@ -310,7 +310,7 @@
 void ent_give_up(struct ent_req *rq, const char *why)
 {
 	ent_req_log(rq, "give-up reason=%s", why);
-	ent_do(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
+	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
 /* Retries pay from the account's budget; rescue from a reclaim does not. */
@@ -326,7 +326,7 @@
 	return ok;
 }
 
-void ent_do(struct ent_req *rq, struct flow_action a)
+void ent_do_action(struct ent_req *rq, struct flow_action a)
 {
 	switch (a.kind) {
 	case FLOW_WAIT:
@@ -355,7 +355,7 @@
 /* ---- Choosing ---- */
 
 /* Called with the model's lock held. */
-void ent_fill_ask(const struct ent_req *rq, struct route_query *ask)
+void ent_fill_query(const struct ent_req *rq, struct route_query *ask)
 {
 	memset(ask, 0, sizeof(*ask));
 	ask->prefix = rq->prefix;
@@ -392,7 +392,7 @@
 }
 
 /* Chooses and notes the choice in the table. */
-struct route_choice ent_choose(struct ent_req *rq, bool only_with_room)
+struct route_choice ent_choose_endpoint(struct ent_req *rq, bool only_with_room)
 {
 	struct route_score s[ROUTE_MAX_SCORES];
 	struct ent_model *m = rq->mod;
@@ -402,7 +402,7 @@
 	size_t n = 0;
 
 	pthread_mutex_lock(&m->lock);
-	ent_fill_ask(rq, &ask);
+	ent_fill_query(rq, &ask);
 	c = route_choose(m->table, m->prefix, &ask, &m->rnd, now, s, &n);
 	if (c.endpoint && (c.has_room || !only_with_room)) {
 		route_sent(route_find(m->table, c.endpoint), now);
@@ -427,7 +427,7 @@
 	ent_req_truncate(rq, 0);
 	rq->version[0] = '\0';
 	rq->finish[0] = '\0';
-	rq->copied = 0;
+	rq->copied_tokens = 0;
 	pthread_cond_broadcast(&rq->changed);
 }
 
@@ -438,12 +438,12 @@
 
 static void nothing_to_choose(struct ent_req *rq, int64_t now)
 {
-	if (!rq->first_wait_ms)
-		rq->first_wait_ms = now + EXACT_WAIT_MS;
-	if (rq->flow.tokens && now >= rq->first_wait_ms)
+	if (!rq->start_by_ms)
+		rq->start_by_ms = now + EXACT_WAIT_MS;
+	if (rq->flow.tokens && now >= rq->start_by_ms)
 		restart_answer(rq);
 	if (now >= rq->flow.deadline_ms ||
-	    (!rq->flow.ran && now >= rq->first_wait_ms)) {
+	    (!rq->flow.ran && now >= rq->start_by_ms)) {
 		ent_give_up(rq, "no-endpoint");
 		return;
 	}
@@ -457,18 +457,18 @@
 	struct route_choice c;
 	struct flow_action a;
 
-	if (rq->flow.phase != FLOW_QUEUED || rq->leaving_move)
+	if (rq->flow.phase != FLOW_QUEUED || rq->kv_move_pending)
 		return;
-	c = ent_choose(rq, false);
+	c = ent_choose_endpoint(rq, false);
 	if (!c.endpoint) {
 		nothing_to_choose(rq, now);
 		return;
 	}
-	rq->first_wait_ms = 0;
+	rq->start_by_ms = 0;
 	a = flow_routed(&rq->flow, c.endpoint, false, now);
 	if (a.kind != FLOW_CALL)
 		ent_release_endpoint(rq->mod, c.endpoint, false, now);
-	ent_do(rq, a);
+	ent_do_action(rq, a);
 }
 
 void ent_move_to(struct ent_req *rq, uint64_t endpoint, const char *kv_from)
@@ -482,10 +482,10 @@
 	a = flow_event(&rq->flow, &ev, &fresh, now);
 	if (a.kind != FLOW_ROUTE) {
 		ent_release_endpoint(rq->mod, endpoint, false, now);
-		ent_do(rq, a);
+		ent_do_action(rq, a);
 		return;
 	}
 	str_copy(rq->kv_from, kv_from, sizeof(rq->kv_from));
-	ent_do(rq, flow_routed(&rq->flow, endpoint, true, now));
+	ent_do_action(rq, flow_routed(&rq->flow, endpoint, true, now));
 	mux_cancel(rq->en->mux, old_stream);
 }
--- a/lib/entry/ent_share.c
+++ b/lib/entry/ent_share.c
@@ -58,8 +58,8 @@
 	return n;
 }
 
-bool ent_share_keep(struct entry *en, const char *account, uint64_t view,
-		    uint64_t who, double demand, double in_use, double *rate)
+bool ent_share_serve(struct entry *en, const char *account, uint64_t view,
+		     uint64_t who, double demand, double in_use, double *rate)
 {
 	const struct ent_snap *s;
 	const struct view *v;
@@ -113,9 +113,9 @@
 	if (why == ERR_NONE && r->keeper)
 		share_update(&x->a->share, r->rate, x->asked_ms);
 	else
-		x->a->asked_keeper = 0;
+		x->a->reported_keeper = 0;
 	pthread_mutex_unlock(&x->a->lock);
-	atomic_store(&x->a->asking, false);
+	atomic_store(&x->a->share_pending, false);
 	free(x);
 }
 
@@ -130,15 +130,15 @@
 	double rate;
 
 	if (k->id == en->self.id) {
-		if (ent_share_keep(en, a->name, view, en->self.id, demand,
-				   in_use, &rate)) {
+		if (ent_share_serve(en, a->name, view, en->self.id, demand,
+				    in_use, &rate)) {
 			pthread_mutex_lock(&a->lock);
 			share_update(&a->share, rate, now);
 			pthread_mutex_unlock(&a->lock);
 		}
 		return;
 	}
-	if (atomic_exchange(&a->asking, true))
+	if (atomic_exchange(&a->share_pending, true))
 		return;
 	args = mem_new(sizeof(*args));
 	ent_fill_head(en, &args->head);
@@ -150,13 +150,14 @@
 	x->en = en;
 	x->a = a;
 	x->asked_ms = now;
-	c = ent_call(k->peer, PEER_SHARE, (xdrproc_t)xdr_peer_share_args, args,
-		     (xdrproc_t)xdr_peer_share_reply, sizeof(peer_share_reply),
-		     ASK_MS);
+	c = ent_prepare_call(k->peer, PEER_SHARE,
+			     (xdrproc_t)xdr_peer_share_args, args,
+			     (xdrproc_t)xdr_peer_share_reply,
+			     sizeof(peer_share_reply), ASK_MS);
 	c.done = on_share;
 	c.arg = x;
 	if (!links_send(en->links, &c)) {
-		atomic_store(&a->asking, false);
+		atomic_store(&a->share_pending, false);
 		free(x);
 	}
 }
@@ -184,8 +185,8 @@
 	follow_view(en, a, k.id == en->self.id, members);
 	/* A new keeper must hear from all before it may give. */
 	wants = now || share_is_due(&a->share, ent_now(en)) ||
-		a->asked_keeper != k.id;
-	a->asked_keeper = k.id;
+		a->reported_keeper != k.id;
+	a->reported_keeper = k.id;
 	demand = a->share.demand;
 	in_use = share_in_use(&a->share, ent_now(en));
 	pthread_mutex_unlock(&a->lock);
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -51,9 +51,9 @@
 	while (lo < hi) {
 		const size_t mid = (lo + hi) / 2;
 
-		if (s->members[mid].who.id == id)
+		if (s->members[mid].info.id == id)
 			return &s->members[mid];
-		if (s->members[mid].who.id < id)
+		if (s->members[mid].info.id < id)
 			lo = mid + 1;
 		else
 			hi = mid;
@@ -112,7 +112,7 @@
 {
 	const struct ent_member *x = a, *y = b;
 
-	return x->who.id < y->who.id ? -1 : x->who.id > y->who.id;
+	return x->info.id < y->info.id ? -1 : x->info.id > y->info.id;
 }
 
 static void add_docs(struct entry *en, struct ent_snap *s)
@@ -152,9 +152,9 @@
 	pthread_mutex_unlock(&en->member_lock);
 	s->members = mem_new(n * sizeof(*s->members));
 	for (i = 0; i < n; i++) {
-		s->members[i].who = all[i].member;
-		s->members[i].who.id = view_instance_id(all[i].member.name,
-							all[i].member.boot);
+		s->members[i].info = all[i].member;
+		s->members[i].info.id = view_instance_id(all[i].member.name,
+							 all[i].member.boot);
 		s->members[i].state = all[i].state;
 	}
 	s->nr_members = n;
@@ -462,7 +462,7 @@
 static void fill_endpoint(struct entry *en, const struct ent_inst *in,
 			  struct route_endpoint *ep)
 {
-	const struct cloud_instance *c = &in->in;
+	const struct cloud_instance *c = &in->info;
 	struct ent_doc *d = find_doc(en, c->service);
 	const struct doc_class *k = d ? doc_find_class(d->doc, c->class_name)
 				      : NULL;
@@ -473,7 +473,7 @@
 	str_copy(ep->address, c->address, sizeof(ep->address));
 	str_copy(ep->zone, c->zone, sizeof(ep->zone));
 	ep->reclaimable = c->reclaimable;
-	ep->leaving = c->state != CLOUD_RUNNING || in->end_ms;
+	ep->leaving = c->state != CLOUD_RUNNING || in->reclaim_ms;
 	ep->tokens_per_s = k ? k->tokens_per_s : 400;
 	ep->prefill_per_s = k ? k->prefill_tokens_per_s : 4000;
 	ep->slots = k ? k->slots : 8;
@@ -486,13 +486,13 @@
 static void update_table(struct entry *en, const struct ent_inst *in)
 {
 	struct ent_model *m =
-		ent_model_get(en, in->in.service, in->in.role, true);
+		ent_model_get(en, in->info.service, in->info.role, true);
 	struct route_endpoint ep, *known;
 
 	fill_endpoint(en, in, &ep);
 	pthread_mutex_lock(&m->lock);
 	known = route_find(m->table, in->id);
-	if (in->in.state == CLOUD_GONE || in->in.state == CLOUD_STARTING) {
+	if (in->info.state == CLOUD_GONE || in->info.state == CLOUD_STARTING) {
 		if (known)
 			route_remove(m->table, in->id);
 	} else {
@@ -510,13 +510,13 @@
 static void update_pool(struct entry *en, const struct ent_inst *in)
 {
 	struct ent_pool *p =
-		ent_pool_get(en, in->in.service, in->in.role, true);
+		ent_pool_get(en, in->info.service, in->info.role, true);
 	size_t i;
 
 	pthread_mutex_lock(&p->lock);
 	for (i = 0; i < p->nr && p->rows[i].id != in->id; i++)
 		;
-	if (in->in.state == CLOUD_GONE) {
+	if (in->info.state == CLOUD_GONE) {
 		if (i < p->nr)
 			p->rows[i] = p->rows[--p->nr];
 	} else if (i < ENT_POOL_MAX) {
@@ -525,11 +525,12 @@
 			p->nr++;
 		}
 		p->rows[i].id = in->id;
-		str_copy(p->rows[i].address, in->in.address,
+		str_copy(p->rows[i].address, in->info.address,
 			 sizeof(p->rows[i].address));
-		str_copy(p->rows[i].zone, in->in.zone, sizeof(p->rows[i].zone));
-		p->rows[i].leaving = in->in.state != CLOUD_RUNNING ||
-				     in->end_ms;
+		str_copy(p->rows[i].zone, in->info.zone,
+			 sizeof(p->rows[i].zone));
+		p->rows[i].leaving = in->info.state != CLOUD_RUNNING ||
+				     in->reclaim_ms;
 	}
 	pthread_mutex_unlock(&p->lock);
 }
@@ -546,16 +547,16 @@
 		return NULL;
 	in = mem_new(sizeof(*in));
 	in->id = id;
-	in->in.state = CLOUD_GONE;
+	in->info.state = CLOUD_GONE;
 	cds_list_add(&in->node, &en->insts);
 	return in;
 }
 
 static void show_inst(struct entry *en, const struct ent_inst *in)
 {
-	if (!strcmp(in->in.kind, "engine"))
+	if (!strcmp(in->info.kind, "engine"))
 		update_table(en, in);
-	else if (!strcmp(in->in.kind, "plain"))
+	else if (!strcmp(in->info.kind, "plain"))
 		update_pool(en, in);
 }
 
@@ -569,7 +570,7 @@
 	struct ent_inst *in;
 
 	cds_list_for_each_entry(in, &en->insts, node) {
-		if (!strcmp(in->in.service, service))
+		if (!strcmp(in->info.service, service))
 			show_inst(en, in);
 	}
 }
@@ -623,19 +624,19 @@
 		str_copy(en->alerts[en->nr_alerts++].zone, zone, DOC_NAME_MAX);
 	en->alerts[i].until_ms = ent_now(en) + ALERT_MS;
 	cds_list_for_each_entry(in, &en->insts, node) {
-		if (!strcmp(in->in.zone, zone) && in->in.reclaimable)
+		if (!strcmp(in->info.zone, zone) && in->info.reclaimable)
 			show_inst(en, in);
 	}
 }
 
 static void start_rescue(struct entry *en, struct ent_inst *in, int64_t end)
 {
-	in->end_ms = end;
+	in->reclaim_ms = end;
 	show_inst(en, in);
-	if (in->in.reclaimable)
-		raise_alert(en, in->in.zone);
+	if (in->info.reclaimable)
+		raise_alert(en, in->info.zone);
 	log_line(LOG_LEVEL_INFO, "reclaim", "instance=%s left_ms=%lld",
-		 in->in.id, (long long)(end - ent_now(en)));
+		 in->info.id, (long long)(end - ent_now(en)));
 	ent_send_command(en, ENT_CMD_RESCUE, NULL, in->id, 0, end);
 }
 
@@ -650,22 +651,22 @@
 	if (!o)
 		return;
 	in = find_inst(en, id, true);
-	cloud_read_instance(o, &in->in);
+	cloud_read_instance(o, &in->info);
 	/* An address that serves a new life is not under the old notice. */
-	if (in->in.state == CLOUD_STARTING || in->in.state == CLOUD_GONE)
-		in->end_ms = 0;
+	if (in->info.state == CLOUD_STARTING || in->info.state == CLOUD_GONE)
+		in->reclaim_ms = 0;
 	show_inst(en, in);
-	if (known && in->in.state == CLOUD_GONE)
+	if (known && in->info.state == CLOUD_GONE)
 		ent_send_command(en, ENT_CMD_RESCUE, NULL, id, 0, ent_now(en));
-	if (in->in.state == CLOUD_GONE) {
+	if (in->info.state == CLOUD_GONE) {
 		cds_list_del(&in->node);
 		free(in);
 		return;
 	}
-	if (in->in.state == CLOUD_LEAVING && !in->end_ms)
+	if (in->info.state == CLOUD_LEAVING && !in->reclaim_ms)
 		start_rescue(en, in,
-			     ent_now(en) + (in->in.end_in_ms > 0
-						    ? in->in.end_in_ms
+			     ent_now(en) + (in->info.end_in_ms > 0
+						    ? in->info.end_in_ms
 						    : 0));
 }
 
@@ -678,12 +679,12 @@
 	struct ent_inst *in = find_inst(en, id, false);
 	const int64_t left = end_wall - clk_wall_ms(en->clk);
 
-	if (!in || in->end_ms || in->in.state == CLOUD_GONE || left <= 0)
+	if (!in || in->reclaim_ms || in->info.state == CLOUD_GONE || left <= 0)
 		return;
 	start_rescue(en, in, ent_now(en) + left);
 }
 
-void ent_act_on_item(struct entry *en, const char *name)
+void ent_apply_item(struct entry *en, const char *name)
 {
 	uint64_t rev = 0;
 	MEM_AUTO char *body = item_body(en, name, &rev);
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -121,11 +121,11 @@
 	size_t i;
 
 	en->wake = ring_create(64);
-	en->arrived = ring_create(RING_CAP);
+	en->changed_items = ring_create(RING_CAP);
 	en->commands = ring_create(RING_CAP);
 	en->moves = ring_create(1024);
 	en->copies = ring_create(RING_CAP);
-	CDS_INIT_LIST_HEAD(&en->fresh);
+	CDS_INIT_LIST_HEAD(&en->recent_items);
 	CDS_INIT_LIST_HEAD(&en->open);
 	for (i = 0; i < ENT_REQ_BUCKETS; i++)
 		CDS_INIT_LIST_HEAD(&en->table[i]);
@@ -221,7 +221,7 @@
 	if (rq->role == ENT_OWNER && rq->flow.phase != FLOW_DONE &&
 	    !rq->plain && *rq->holder) {
 		rq->released = true;
-		ent_copy_soon(rq);
+		ent_queue_copy(rq);
 		mux_cancel(en->mux, rq->stream);
 		pthread_cond_broadcast(&rq->changed);
 	}
@@ -233,15 +233,15 @@
 	(void)arg;
 	pthread_mutex_lock(&rq->lock);
 	if (rq->role == ENT_OWNER && rq->flow.phase == FLOW_DONE &&
-	    !rq->final_copied)
-		ent_copy_soon(rq);
+	    !rq->end_copied)
+		ent_queue_copy(rq);
 	pthread_mutex_unlock(&rq->lock);
 }
 
 static void wait_until(struct entry *en, int64_t until, bool for_idle)
 {
 	while (ent_now(en) < until && !atomic_load(&en->stopping)) {
-		if (for_idle && !atomic_load(&en->running) &&
+		if (for_idle && !atomic_load(&en->nr_open) &&
 		    !atomic_load(&en->in_flight))
 			return;
 		clk_sleep_ms(20);
@@ -261,7 +261,7 @@
 	ent_req_each_open(en, release, en);
 	wait_until(en, ent_now(en) + 2000, true);
 	/* Votes go last: until now this entry still judged. */
-	ent_hand_on_votes(en);
+	ent_transfer_votes(en);
 	clk_sleep_ms(2 * en->set.copy_ms);
 	atomic_store(&en->drained, true);
 	log_line(LOG_LEVEL_INFO, "drain", "drained ms=%lld",
@@ -310,7 +310,7 @@
 
 	ent_member_free(en);
 
-	while ((p = ring_pop(en->arrived, 0)))
+	while ((p = ring_pop(en->changed_items, 0)))
 		free(p);
 	while ((c = ring_pop(en->commands, 0))) {
 		if (c->rq)
@@ -320,7 +320,7 @@
 	while ((p = ring_pop(en->copies, 0)))
 		ent_req_put(p);
 	ring_free(en->wake);
-	ring_free(en->arrived);
+	ring_free(en->changed_items);
 	ring_free(en->commands);
 	ring_free(en->moves);
 	ring_free(en->copies);
--- a/lib/entry/entry_internal.h
+++ b/lib/entry/entry_internal.h
@@ -59,7 +59,7 @@
 };
 
 struct ent_member {
-	struct view_member who;
+	struct view_member info;
 	enum swim_state state;
 };
 
@@ -118,8 +118,8 @@
 	bool stripped;		   /* the answer is no longer kept */
 	struct flow flow;
 	struct buf text;
-	uint32_t *ends; /* end offset of each token in text */
-	size_t ends_cap;
+	uint32_t *token_ends; /* end offset of each token in text */
+	size_t token_ends_cap;
 	char finish[32];
 	int status;   /* of a failure, or of a plain call's reply */
 	char *result; /* a plain call's body or a failure's words */
@@ -128,12 +128,12 @@
 	uint64_t stream; /* mux id of the open stream */
 	struct wfq_item item;
 	bool queued;
-	bool leaving_move; /* a KV move is under way */
+	bool kv_move_pending; /* a KV move is under way */
 	bool released;
 	size_t acct_max; /* in flight at once, by the document */
 	char kv_from[GRANT_KEY_MAX + 16]; /* run whose KV was moved */
-	double charged;	       /* tokens taken from the account's share */
-	int64_t first_wait_ms; /* give up waiting for a start */
+	double charged_tokens; /* tokens taken from the account's share */
+	int64_t start_by_ms;   /* give up waiting for a start */
 	int64_t arrived_ms;
 	int64_t ended_ms;
 	struct buf log; /* decisions, for `explain` */
@@ -141,12 +141,12 @@
 	/* The copy at the holder. */
 	char holder[SET_ADDR_MAX];
 	unsigned holder_place;
-	uint64_t former_owner; /* whose request was taken over; 0: none */
-	unsigned tried_places; /* of judges that did not take the copy */
-	int64_t rehome_ms;     /* no other holder is asked for before */
-	uint32_t copied;
-	bool in_copier;
-	bool final_copied;
+	uint64_t previous_owner; /* whose request was taken over; 0: none */
+	unsigned tried_places;	 /* of judges that did not take the copy */
+	int64_t next_rehome_ms;	 /* no other holder is asked for before */
+	uint32_t copied_tokens;
+	bool in_copy_queue;
+	bool end_copied;
 };
 
 /* ---- What lives for the process ---- */
@@ -158,10 +158,10 @@
 	struct share share;
 	struct retry_budget retries;
 	struct share_keeper *keeper; /* if this entry is the keeper */
-	uint64_t asked_keeper;	     /* who was told what we use */
+	uint64_t reported_keeper;    /* who was told what we use */
 	double limit;
 	atomic_size_t in_flight;
-	atomic_bool asking;
+	atomic_bool share_pending;
 };
 
 struct ent_model {
@@ -177,7 +177,7 @@
 	double recompute_weight;
 	int64_t first_token_ms;
 	int64_t between_tokens_ms;
-	atomic_llong used_ms; /* when a request last asked for it */
+	atomic_llong last_used_ms; /* when a request last asked for it */
 };
 
 struct ent_pool_member {
@@ -185,8 +185,8 @@
 	char address[64];
 	char zone[DOC_NAME_MAX];
 	bool leaving;
-	int64_t own;
-	int64_t avoid_until;
+	int64_t own_open;
+	int64_t avoid_until_ms;
 };
 
 #define ENT_POOL_MAX 256
@@ -203,8 +203,8 @@
 struct ent_inst {
 	struct cds_list_head node;
 	uint64_t id;
-	struct cloud_instance in;
-	int64_t end_ms; /* of a notice; monotonic, 0 if none */
+	struct cloud_instance info;
+	int64_t reclaim_ms; /* of a notice; monotonic, 0 if none */
 };
 
 /* An availability zone where reclaim notices are coming in. */
@@ -264,11 +264,11 @@
 	pthread_mutex_t member_lock;
 	struct swim *swim;
 	struct spread *spread;
-	struct cds_list_head fresh; /* items to offer, names */
+	struct cds_list_head recent_items; /* items to offer, names */
 	int64_t last_put_ms;
-	int64_t kv_contact_ms; /* control told us the service answers */
-	struct ring *wake;     /* wakes the member thread */
-	struct ring *arrived;  /* names of items to act on */
+	int64_t kv_contact_ms;	    /* control told us the service answers */
+	struct ring *wake;	    /* wakes the member thread */
+	struct ring *changed_items; /* names of items to act on */
 	struct ent_snap *snap;
 	struct cds_list_head docs;
 	struct cds_list_head insts;
@@ -287,7 +287,7 @@
 	size_t next_expire;	   /* bucket */
 	struct cds_list_head open; /* owned and not ended */
 	atomic_size_t in_flight;   /* callers being answered */
-	atomic_size_t running;	   /* requests owned and open */
+	atomic_size_t nr_open;	   /* requests owned and open */
 
 	pthread_mutex_t list_lock; /* of models, pools, accounts */
 	struct cds_list_head models;
@@ -332,7 +332,7 @@
 void ent_state_init(struct entry *en);
 void ent_state_free(struct entry *en);
 /* Acts on an item that came into force; member thread only. */
-void ent_act_on_item(struct entry *en, const char *name);
+void ent_apply_item(struct entry *en, const char *name);
 struct ent_account *ent_account_get(struct entry *en, const char *service,
 				    const char *account, double limit);
 struct ent_model *ent_model_get(struct entry *en, const char *service,
@@ -345,19 +345,20 @@
 void *ent_member_run(void *arg);
 void ent_member_free(struct entry *en);
 /* Takes an item in, wakes the member thread if it is new. */
-enum spread_verdict ent_item(struct entry *en, const char *name, uint64_t rev,
-			     const void *body, size_t len, int64_t ttl_ms);
+enum spread_verdict ent_put_item(struct entry *en, const char *name,
+				 uint64_t rev, const void *body, size_t len,
+				 int64_t ttl_ms);
 void ent_fill_head(struct entry *en, peer_head *h);
 void ent_fill_member(const struct view_member *m, peer_member *p);
 bool ent_read_member(const peer_member *p, struct view_member *m);
-struct link_call ent_call(const char *address, uint32_t proc, xdrproc_t xa,
-			  void *args, xdrproc_t xr, size_t size,
-			  int64_t timeout_ms);
-bool ent_start_up(struct entry *en);
-bool ent_cut_off(struct entry *en);
+struct link_call ent_prepare_call(const char *address, uint32_t proc,
+				  xdrproc_t xa, void *args, xdrproc_t xr,
+				  size_t size, int64_t timeout_ms);
+bool ent_bootstrap(struct entry *en);
+bool ent_is_cut_off(struct entry *en);
 void ent_fill_item(const struct spread_item *it, peer_item *p, int64_t now);
 /* Items that came in force a moment ago; member_lock held. */
-void ent_recent(struct entry *en, peer_name **out, u_int *len);
+void ent_list_recent(struct entry *en, peer_name **out, u_int *len);
 /* Pulls from a peer those of the names that are news here. */
 void ent_pull_recent(struct entry *en, const char *address,
 		     const peer_name *names, size_t n);
@@ -387,15 +388,16 @@
  * owner. Returns at once; what the judge says is logged.
  */
 void ent_rehome(struct entry *en, struct ent_req *rq);
-struct judge_reply ent_judge_ask(struct entry *en, const struct judge_ask *ask);
+struct judge_reply ent_judge_decide(struct entry *en,
+				    const struct judge_ask *ask);
 /*
  * Addresses that may know about a key: the winner (0: not known) if it is a
  * member, then the judges of the key.
  */
-size_t ent_locate(struct entry *en, uint64_t view, unsigned slot,
-		  uint64_t winner, char out[5][SET_ADDR_MAX],
-		  bool *winner_first);
-void ent_hand_on_votes(struct entry *en);
+size_t ent_key_addresses(struct entry *en, uint64_t view, unsigned slot,
+			 uint64_t winner, char out[5][SET_ADDR_MAX],
+			 bool *winner_first);
+void ent_transfer_votes(struct entry *en);
 /* Chooses a slot of the current view whose judges are alive. */
 bool ent_new_grant(struct entry *en, struct grant *g);
 
@@ -433,36 +435,37 @@
 
 /* -- ent_copy.c -- */
 void *ent_copier_run(void *arg);
-void ent_copy_soon(struct ent_req *rq); /* lock held */
+void ent_queue_copy(struct ent_req *rq); /* lock held */
 void ent_fill_record(struct ent_req *rq, peer_record *r);
-bool ent_take_record(struct entry *en, const peer_record *r, uint64_t view,
-		     unsigned slot, int64_t birth_ms);
+bool ent_store_record(struct entry *en, const peer_record *r, uint64_t view,
+		      unsigned slot, int64_t birth_ms);
 /*
  * Becomes the holder for the owner in the record, also in place of an earlier
  * owner: one that took over did not win the claim, so its judges' votes say
  * nothing. False if this entry runs the request itself or knows its end.
  */
-bool ent_hold(struct entry *en, const peer_hold_args *a);
-bool ent_take_update(struct entry *en, const peer_update *u);
+bool ent_become_holder(struct entry *en, const peer_hold_args *a);
+bool ent_apply_update(struct entry *en, const peer_update *u);
 /* Becomes the owner of a record whose owner is gone. */
 void ent_take_over(struct entry *en, struct ent_req *rq);
-void ent_take_over_dead(struct entry *en);
-void ent_fetch(struct entry *en, const peer_fetch_args *a, peer_fetch_reply *r);
+void ent_take_over_from_dead(struct entry *en);
+void ent_serve_fetch(struct entry *en, const peer_fetch_args *a,
+		     peer_fetch_reply *r);
 
 /* -- ent_dispatch.c, ent_poll.c, ent_admit.c, ent_run.c -- */
 void ent_poll_for_request(struct entry *en, struct ent_model *m);
 void ent_poll_model(struct entry *en, struct ent_model *m);
-void ent_drain_queue(struct entry *en, struct ent_model *m);
+void ent_dispatch_queue(struct entry *en, struct ent_model *m);
 /* Routes a request that is due and calls the endpoint. Lock held. */
 void ent_route_and_call(struct ent_req *rq);
 /* What routing is asked for this request. The model's lock is held. */
-void ent_fill_ask(const struct ent_req *rq, struct route_query *ask);
+void ent_fill_query(const struct ent_req *rq, struct route_query *ask);
 void *ent_dispatch_run(void *arg);
 void *ent_mover_run(void *arg);
 /* First admission; the verdict of admit for the caller. */
 struct admit_result ent_admit(struct entry *en, struct ent_req *rq);
-void ent_do(struct ent_req *rq, struct flow_action a); /* lock held */
-void ent_give_up(struct ent_req *rq, const char *why); /* lock held */
+void ent_do_action(struct ent_req *rq, struct flow_action a); /* lock held */
+void ent_give_up(struct ent_req *rq, const char *why);	      /* lock held */
 void ent_send_command(struct entry *en, enum ent_command_kind kind,
 		      struct ent_req *rq, uint64_t instance, int64_t at_ms,
 		      int64_t end_ms);
@@ -470,7 +473,8 @@
 /* The engine's name for the current run. Lock held. */
 void ent_stream_id(const struct ent_req *rq, char *out, size_t size);
 /* Chooses for a move: only where there is room. Lock held. */
-struct route_choice ent_choose(struct ent_req *rq, bool only_with_room);
+struct route_choice ent_choose_endpoint(struct ent_req *rq,
+					bool only_with_room);
 /* Moves the flow to `endpoint`, where the KV cache is now. Lock held. */
 void ent_move_to(struct ent_req *rq, uint64_t endpoint, const char *kv_from);
 void ent_release_endpoint(struct ent_model *m, uint64_t id, bool failed,
@@ -488,8 +492,8 @@
 void ent_share_tick(struct entry *en);
 /* Asks at once if this entry has no share, or has used it up (`empty`). */
 void ent_share_ask_now(struct entry *en, struct ent_account *a, bool empty);
-bool ent_share_keep(struct entry *en, const char *account, uint64_t view,
-		    uint64_t who, double demand, double in_use, double *rate);
+bool ent_share_serve(struct entry *en, const char *account, uint64_t view,
+		     uint64_t who, double demand, double in_use, double *rate);
 
 /* -- ent_http.c -- */
 void ent_http_handle(struct hsv_request *rq, void *arg);
