--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -42,7 +42,7 @@
 					       : "");
 }
 
-static bool begin(struct ent_writer *w)
+static bool begin_stream(struct ent_writer *w)
 {
 	char extra[320];
 
@@ -151,13 +151,13 @@
 /* An outcome other than whole, before any byte of an answer. */
 static void write_failure(struct ent_writer *w, const struct ent_batch *t)
 {
-	const bool callers_fault = t->status >= 400 && t->status < 500;
+	const bool is_client_error = t->status >= 400 && t->status < 500;
 
 	if (t->stripped && t->outcome == FLOW_COMPLETED) {
 		ent_refuse(w->en, w->rq, 410, "ran", 0, "Answer not kept",
 			   "the request was answered, but too long ago for its "
 			   "answer to be sent again");
-	} else if (t->outcome == FLOW_NOT_RUN && callers_fault &&
+	} else if (t->outcome == FLOW_NOT_RUN && is_client_error &&
 		   t->status != 429) {
 		ent_refuse(w->en, w->rq, t->status, "not-run", 0,
 			   "Refused by the model engine",
@@ -199,9 +199,9 @@
  * Begins the stream, with the mark that the answer starts anew if one is due.
  * It may be due before the new run has a token to send it with.
  */
-static bool begin_or_restart(struct ent_writer *w)
+static bool begin_or_restart_stream(struct ent_writer *w)
 {
-	if (!begin(w))
+	if (!begin_stream(w))
 		return false;
 	if (!w->restart_due)
 		return true;
@@ -219,7 +219,8 @@
 		w->offset = 0;
 		buf_reset(&w->text);
 	}
-	if (w->stream && t->nr && (!begin_or_restart(w) || !write_tokens(w, t)))
+	if (w->stream && t->nr &&
+	    (!begin_or_restart_stream(w) || !write_tokens(w, t)))
 		return false;
 	for (i = 0; i < t->nr && !w->stream; i++)
 		buf_str(&w->text, t->tokens[i]);
@@ -233,7 +234,7 @@
 	}
 	if (w->begun ||
 	    (w->stream && !t->plain && t->outcome == FLOW_COMPLETED)) {
-		if (begin_or_restart(w))
+		if (begin_or_restart_stream(w))
 			write_stream_end(w, t);
 	} else if (t->outcome == FLOW_COMPLETED) {
 		write_whole(w, t);
@@ -244,7 +245,7 @@
 }
 
 /* The source is gone. In mid-stream the caller is told to reconnect. */
-static void end_lost(struct ent_writer *w, bool handed_on)
+static void end_interrupted(struct ent_writer *w, bool handed_on)
 {
 	if (w->begun) {
 		write_event(w, "reconnect", "{}");
@@ -271,12 +272,12 @@
 		go = !lost && serve_batch(w, &t);
 		ent_free_batch(&t);
 		if (lost)
-			end_lost(w, f->vt == &ent_local_feed_vtable);
+			end_interrupted(w, f->vt == &ent_local_feed_vtable);
 		if (!go)
 			break;
 		if (atomic_load(&w->en->releasing) &&
 		    f->vt == &ent_remote_feed_vtable) {
-			end_lost(w, true);
+			end_interrupted(w, true);
 			break;
 		}
 	}
--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -15,12 +15,12 @@
  * A judge answers in a round trip; a second of waiting would already miss
  * the first token, so what has not come by then counts as lost.
  */
-#define ASK_MS 300
+#define JUDGE_TIMEOUT_MS 300
 
 /* Views that are tried for a slot with live judges. */
-#define GRANT_TRIES 64
+#define MAX_GRANT_TRIES 64
 
-#define HAND_ON_MS 1000
+#define VOTE_TRANSFER_TIMEOUT_MS 1000
 
 /* ---- Answering ---- */
 
@@ -41,8 +41,8 @@
 
 /* ---- Asking ---- */
 
-struct target {
-	struct view_member who;
+struct judge_target {
+	struct view_member member;
 	bool alive;
 	bool other_zone;
 };
@@ -54,8 +54,8 @@
 	pthread_cond_t changed;
 	int refs;
 	struct claim claim;
-	struct target judge[VIEW_JUDGES];
-	struct target reserve;
+	struct judge_target judge[VIEW_JUDGES];
+	struct judge_target reserve;
 	bool has_reserve;
 	unsigned nr;
 	bool pending[VIEW_JUDGES];
@@ -64,14 +64,14 @@
 	char held_by[SET_ADDR_MAX];
 };
 
-struct ask {
+struct vote_request {
 	struct ballot *b;
 	unsigned place;
 	bool with_record;
-	bool at_reserve;
+	bool to_reserve;
 };
 
-static void put_ballot(struct ballot *b)
+static void ballot_put(struct ballot *b)
 {
 	int left;
 
@@ -87,11 +87,11 @@
 }
 
 static void fill_target(struct entry *en, const struct ent_snap *s,
-			const struct view_member *m, struct target *t)
+			const struct view_member *m, struct judge_target *t)
 {
 	const struct ent_member *known = ent_snap_member(s, m->id);
 
-	t->who = *m;
+	t->member = *m;
 	t->alive = known && known->state != SWIM_SUSPECT;
 	t->other_zone = strcmp(m->zone, en->self.zone) != 0;
 }
@@ -123,11 +123,11 @@
 	return v && b->nr;
 }
 
-static void send_ask(struct ballot *b, unsigned place, bool with_record,
-		     bool at_reserve);
+static void send_vote_request(struct ballot *b, unsigned place,
+			      bool with_record, bool to_reserve);
 
-static void settle(struct ballot *b, unsigned place,
-		   const struct judge_reply *reply)
+static void record_reply(struct ballot *b, unsigned place,
+			 const struct judge_reply *reply)
 {
 	if (reply)
 		claim_answer(&b->claim, place, reply);
@@ -137,12 +137,12 @@
 	pthread_cond_broadcast(&b->changed);
 }
 
-static void on_answer(enum err_code why, const void *result, void *arg)
+static void on_vote_reply(enum err_code why, const void *result, void *arg)
 {
 	const peer_claim_reply *r = result;
-	struct ask *a = arg;
+	struct vote_request *a = arg;
 	struct ballot *b = a->b;
-	bool ask_reserve = false;
+	bool try_reserve = false;
 	struct judge_reply reply;
 
 	pthread_mutex_lock(&b->lock);
@@ -156,8 +156,8 @@
 			b->held = true;
 			b->held_place = a->place;
 			str_copy(b->held_by,
-				 a->at_reserve ? b->reserve.who.peer
-					       : b->judge[a->place].who.peer,
+				 a->to_reserve ? b->reserve.member.peer
+					       : b->judge[a->place].member.peer,
 				 sizeof(b->held_by));
 		}
 	}
@@ -166,33 +166,34 @@
 	 * that merely did not answer may still vote, so a reserve that has
 	 * not adopted refuses, and nothing is counted twice.
 	 */
-	if (!a->at_reserve && b->has_reserve &&
+	if (!a->to_reserve && b->has_reserve &&
 	    (why != ERR_NONE ||
 	     (reply.verdict == JUDGE_REFUSED && reply.reason != JUDGE_EXPIRED)))
-		ask_reserve = true;
-	if (!ask_reserve)
-		settle(b, a->place, why == ERR_NONE ? &reply : NULL);
+		try_reserve = true;
+	if (!try_reserve)
+		record_reply(b, a->place, why == ERR_NONE ? &reply : NULL);
 	pthread_mutex_unlock(&b->lock);
-	if (ask_reserve)
-		send_ask(b, a->place, a->with_record, true);
-	put_ballot(b);
+	if (try_reserve)
+		send_vote_request(b, a->place, a->with_record, true);
+	ballot_put(b);
 	free(a);
 }
 
-static void ask_self(struct ballot *b, unsigned place,
-		     const struct judge_ask *ask)
+static void vote_locally(struct ballot *b, unsigned place,
+			 const struct judge_ask *ask)
 {
 	const struct judge_reply r = ent_judge_decide(b->en, ask);
 
 	pthread_mutex_lock(&b->lock);
-	settle(b, place, &r);
+	record_reply(b, place, &r);
 	pthread_mutex_unlock(&b->lock);
 }
 
-static void send_ask(struct ballot *b, unsigned place, bool with_record,
-		     bool at_reserve)
+static void send_vote_request(struct ballot *b, unsigned place,
+			      bool with_record, bool to_reserve)
 {
-	const struct target *t = at_reserve ? &b->reserve : &b->judge[place];
+	const struct judge_target *t = to_reserve ? &b->reserve
+						  : &b->judge[place];
 	struct entry *en = b->en;
 	struct judge_ask local = {
 		.view = b->rq->slot_view,
@@ -203,11 +204,11 @@
 	};
 	peer_claim_args *args;
 	struct link_call c;
-	struct ask *a;
+	struct vote_request *a;
 
 	str_copy(local.key, b->rq->key, sizeof(local.key));
-	if (t->who.id == en->self.id) {
-		ask_self(b, place, &local);
+	if (t->member.id == en->self.id) {
+		vote_locally(b, place, &local);
 		return;
 	}
 	args = mem_new(sizeof(*args));
@@ -226,12 +227,12 @@
 	a->b = b;
 	a->place = place;
 	a->with_record = with_record;
-	a->at_reserve = at_reserve;
-	c = ent_prepare_call(t->who.peer, PEER_CLAIM,
+	a->to_reserve = to_reserve;
+	c = ent_prepare_call(t->member.peer, PEER_CLAIM,
 			     (xdrproc_t)xdr_peer_claim_args, args,
 			     (xdrproc_t)xdr_peer_claim_reply,
-			     sizeof(peer_claim_reply), ASK_MS);
-	c.done = on_answer;
+			     sizeof(peer_claim_reply), JUDGE_TIMEOUT_MS);
+	c.done = on_vote_reply;
 	c.arg = a;
 	pthread_mutex_lock(&b->lock);
 	b->refs++;
@@ -240,7 +241,7 @@
 		return;
 	pthread_mutex_lock(&b->lock);
 	b->refs--;
-	settle(b, place, NULL);
+	record_reply(b, place, NULL);
 	pthread_mutex_unlock(&b->lock);
 	free(a);
 }
@@ -250,14 +251,14 @@
  * availability zone if one can be had. `skip`: places tried already.
  */
 static int choose_holder(struct entry *en, const struct ballot *b,
-			 unsigned skip)
+			 unsigned excluded)
 {
 	int best = -1;
 	unsigned i;
 
 	for (i = 0; i < b->nr; i++) {
-		if ((skip >> i) & 1 || !b->judge[i].alive ||
-		    b->judge[i].who.id == en->self.id)
+		if ((excluded >> i) & 1 || !b->judge[i].alive ||
+		    b->judge[i].member.id == en->self.id)
 			continue;
 		if (best < 0 ||
 		    (b->judge[i].other_zone && !b->judge[best].other_zone))
@@ -281,9 +282,9 @@
  * Waits until the outcome stands and the copy is held, or nothing more can
  * come. Called with the lock held.
  */
-static void await(struct ballot *b, bool need_held)
+static void wait_for_outcome(struct ballot *b, bool need_held)
 {
-	const struct timespec until = clk_deadline(2 * ASK_MS + 100);
+	const struct timespec until = clk_deadline(2 * JUDGE_TIMEOUT_MS + 100);
 
 	for (;;) {
 		const enum claim_outcome o = claim_outcome(&b->claim);
@@ -299,7 +300,7 @@
 	}
 }
 
-static struct ballot *new_ballot(struct entry *en, struct ent_req *rq)
+static struct ballot *ballot_new(struct entry *en, struct ent_req *rq)
 {
 	struct ballot *b = mem_new(sizeof(*b));
 	pthread_condattr_t attr;
@@ -340,22 +341,22 @@
 	pthread_mutex_lock(&b->lock);
 	b->pending[other] = true;
 	pthread_mutex_unlock(&b->lock);
-	send_ask(b, (unsigned)other, true, false);
+	send_vote_request(b, (unsigned)other, true, false);
 	pthread_mutex_lock(&b->lock);
-	await(b, true);
+	wait_for_outcome(b, true);
 	pthread_mutex_unlock(&b->lock);
 }
 
 struct ent_claim_result ent_claim(struct entry *en, struct ent_req *rq)
 {
 	struct ent_claim_result r = { .outcome = CLAIM_UNKNOWN };
-	struct ballot *b = new_ballot(en, rq);
+	struct ballot *b = ballot_new(en, rq);
 	int holder;
 	unsigned i;
 
 	if (!find_judges(en, rq, b)) {
 		count_outcome(en, r.outcome);
-		put_ballot(b);
+		ballot_put(b);
 		return r;
 	}
 	claim_start(&b->claim, en->self.id, b->nr);
@@ -363,9 +364,9 @@
 	for (i = 0; i < b->nr; i++)
 		b->pending[i] = true;
 	for (i = 0; i < b->nr; i++)
-		send_ask(b, i, (int)i == holder, false);
+		send_vote_request(b, i, (int)i == holder, false);
 	pthread_mutex_lock(&b->lock);
-	await(b, holder >= 0);
+	wait_for_outcome(b, holder >= 0);
 	r.outcome = claim_outcome(&b->claim);
 	r.winner = claim_winner(&b->claim);
 	pthread_mutex_unlock(&b->lock);
@@ -380,7 +381,7 @@
 	}
 	pthread_mutex_unlock(&b->lock);
 	count_outcome(en, r.outcome);
-	put_ballot(b);
+	ballot_put(b);
 	return r;
 }
 
@@ -389,17 +390,17 @@
 /* A request that found no holder asks again after this. */
 #define REHOME_RETRY_MS 500
 
-struct rehoming {
+struct rehome_call {
 	struct entry *en;
 	struct ent_req *rq;
 	unsigned place;
 	char address[SET_ADDR_MAX];
 };
 
-static void on_rehomed(enum err_code why, const void *result, void *arg)
+static void on_rehome_reply(enum err_code why, const void *result, void *arg)
 {
 	const bool_t *held = result;
-	struct rehoming *h = arg;
+	struct rehome_call *h = arg;
 	const bool ok = why == ERR_NONE && *held;
 
 	pthread_mutex_lock(&h->rq->lock);
@@ -422,7 +423,8 @@
 }
 
 /* The places of the judges that cannot hold the copy now. Lock held. */
-static unsigned useless_places(const struct ent_req *rq, const struct ballot *b)
+static unsigned excluded_places(const struct ent_req *rq,
+				const struct ballot *b)
 {
 	unsigned places = rq->tried_places, i;
 
@@ -430,7 +432,7 @@
 		places |= 1u << rq->holder_place;
 	/* It may be dead for a while before membership says so. */
 	for (i = 0; i < b->nr; i++) {
-		if (b->judge[i].who.id == rq->previous_owner)
+		if (b->judge[i].member.id == rq->previous_owner)
 			places |= 1u << i;
 	}
 	return places;
@@ -438,14 +440,14 @@
 
 /* The judge that is to hold the copy; false if there is none. */
 static bool next_holder(struct entry *en, struct ent_req *rq,
-			struct rehoming *h)
+			struct rehome_call *h)
 {
-	struct ballot *b = new_ballot(en, rq);
+	struct ballot *b = ballot_new(en, rq);
 	int place = -1;
 
 	if (find_judges(en, rq, b)) {
 		pthread_mutex_lock(&rq->lock);
-		place = choose_holder(en, b, useless_places(rq, b));
+		place = choose_holder(en, b, excluded_places(rq, b));
 		if (place < 0)
 			rq->tried_places = 0;
 		rq->next_rehome_ms = ent_now(en) + REHOME_RETRY_MS;
@@ -453,16 +455,16 @@
 	}
 	if (place >= 0) {
 		h->place = (unsigned)place;
-		str_copy(h->address, b->judge[place].who.peer,
+		str_copy(h->address, b->judge[place].member.peer,
 			 sizeof(h->address));
 	}
-	put_ballot(b);
+	ballot_put(b);
 	return place >= 0;
 }
 
 void ent_rehome(struct entry *en, struct ent_req *rq)
 {
-	struct rehoming *h = mem_new(sizeof(*h));
+	struct rehome_call *h = mem_new(sizeof(*h));
 	peer_hold_args *args;
 	struct link_call c;
 
@@ -482,8 +484,9 @@
 	ent_req_get(rq);
 	c = ent_prepare_call(h->address, PEER_HOLD,
 			     (xdrproc_t)xdr_peer_hold_args, args,
-			     (xdrproc_t)xdr_bool, sizeof(bool_t), ASK_MS);
-	c.done = on_rehomed;
+			     (xdrproc_t)xdr_bool, sizeof(bool_t),
+			     JUDGE_TIMEOUT_MS);
+	c.done = on_rehome_reply;
 	c.arg = h;
 	if (!links_send(en->links, &c)) {
 		ent_req_put(rq);
@@ -559,7 +562,7 @@
 	pub_read_lock();
 	s = ent_snap(en);
 	v = ent_snap_current(s);
-	for (tries = 0; v && tries < GRANT_TRIES; tries++) {
+	for (tries = 0; v && tries < MAX_GRANT_TRIES; tries++) {
 		char nonce[9];
 		const struct view_slot *slot;
 		unsigned live;
@@ -601,8 +604,8 @@
 }
 
 /* One reserve's part; the same votes again if no answer came. */
-static bool hand_on_to(struct entry *en, const struct view *v,
-		       const struct view_member *reserve)
+static bool transfer_votes_to(struct entry *en, const struct view *v,
+			      const struct view_member *reserve)
 {
 	peer_adopt_args *a = mem_new(sizeof(*a));
 	MEM_AUTO struct judge_vote *votes = NULL;
@@ -619,7 +622,8 @@
 	fill_votes(a, votes, n);
 	c = ent_prepare_call(reserve->peer, PEER_ADOPT,
 			     (xdrproc_t)xdr_peer_adopt_args, a,
-			     (xdrproc_t)xdr_bool, sizeof(bool_t), HAND_ON_MS);
+			     (xdrproc_t)xdr_bool, sizeof(bool_t),
+			     VOTE_TRANSFER_TIMEOUT_MS);
 	if (links_call(en->links, &c, &ok, &e))
 		return false;
 	log_line(LOG_LEVEL_INFO, "claim",
@@ -646,7 +650,7 @@
 }
 
 /* A copy of the members: no lock may be held over the calls. */
-static size_t recent_views(struct entry *en, struct view *out[ENT_MAX_VIEWS])
+static size_t copy_own_views(struct entry *en, struct view *out[ENT_MAX_VIEWS])
 {
 	const struct ent_snap *s;
 	size_t n = 0, i;
@@ -672,15 +676,15 @@
 	pthread_mutex_lock(&en->judge_lock);
 	judge_stop(en->judge);
 	pthread_mutex_unlock(&en->judge_lock);
-	n = recent_views(en, views);
+	n = copy_own_views(en, views);
 	for (i = 0; i < n; i++) {
 		bool marked[VIEW_MAX_MEMBERS] = { false };
 
 		mark_reserves(views[i], en->self.id, marked);
 		for (m = 0; m < views[i]->nr; m++) {
 			for (tries = 0; marked[m] && tries < 3; tries++) {
-				if (hand_on_to(en, views[i],
-					       &views[i]->members[m]))
+				if (transfer_votes_to(en, views[i],
+						      &views[i]->members[m]))
 					break;
 			}
 		}
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -15,10 +15,10 @@
 #include "base/hsh.h"
 #include "base/jsn.h"
 
-#define UPDATE_MS 1000
+#define UPDATE_TIMEOUT_MS 1000
 
 /* Requests in one batch to one holder; bounds a message to some 100 KB. */
-#define BATCH_MAX 256
+#define MAX_BATCH_REQUESTS 256
 
 /* ---- The record ---- */
 
@@ -46,7 +46,7 @@
 }
 
 /* The same record again is the same copy. */
-static bool is_copy_for(struct ent_req *rq, uint64_t owner)
+static bool is_owned_by(struct ent_req *rq, uint64_t owner)
 {
 	bool same;
 
@@ -59,8 +59,8 @@
 bool ent_store_record(struct entry *en, const peer_record *r, uint64_t view,
 		      unsigned slot, int64_t birth_ms)
 {
-	struct ent_req *rq, *there;
-	bool taken;
+	struct ent_req *rq, *found;
+	bool accepted;
 
 	if (!*r->key || strlen(r->key) >= GRANT_KEY_MAX)
 		return false;
@@ -85,13 +85,13 @@
 	rq->flow.attempt = r->attempt;
 	rq->body = mem_new(r->body.body_len + 1);
 	memcpy(rq->body, r->body.body_val, r->body.body_len);
-	there = ent_req_add(en, rq);
-	taken = there == rq || is_copy_for(there, r->owner);
-	ent_req_put(there);
+	found = ent_req_add(en, rq);
+	accepted = found == rq || is_owned_by(found, r->owner);
+	ent_req_put(found);
 	ent_req_put(rq);
-	if (taken)
+	if (accepted)
 		met_inc(en->m.copies);
-	return taken;
+	return accepted;
 }
 
 bool ent_become_holder(struct entry *en, const peer_hold_args *a)
@@ -174,7 +174,7 @@
 struct batch {
 	struct entry *en;
 	size_t nr;
-	struct ent_req *rq[BATCH_MAX];
+	struct ent_req *rq[MAX_BATCH_REQUESTS];
 	char holder[SET_ADDR_MAX];
 	peer_update_args *args;
 };
@@ -213,7 +213,8 @@
 	struct link_call c = ent_prepare_call(b->holder, PEER_UPDATE,
 					      (xdrproc_t)xdr_peer_update_args,
 					      b->args, (xdrproc_t)xdr_bool,
-					      sizeof(bool_t), UPDATE_MS);
+					      sizeof(bool_t),
+					      UPDATE_TIMEOUT_MS);
 	size_t i;
 
 	c.done = on_copied;
@@ -236,7 +237,8 @@
 	size_t i;
 
 	for (i = 0; i < *nr; i++) {
-		if (!strcmp(open[i]->holder, holder) && open[i]->nr < BATCH_MAX)
+		if (!strcmp(open[i]->holder, holder) &&
+		    open[i]->nr < MAX_BATCH_REQUESTS)
 			return open[i];
 	}
 	if (*nr == max)
@@ -246,12 +248,13 @@
 	str_copy(b->holder, holder, sizeof(b->holder));
 	b->args = mem_new(sizeof(*b->args));
 	ent_fill_head(en, &b->args->head);
-	b->args->updates.updates_val = mem_new(BATCH_MAX * sizeof(peer_update));
+	b->args->updates.updates_val =
+		mem_new(MAX_BATCH_REQUESTS * sizeof(peer_update));
 	open[(*nr)++] = b;
 	return b;
 }
 
-#define MAX_OPEN 64
+#define MAX_BATCHES 64
 
 /* True if the request has no holder; asks for one unless it just did. */
 static bool lacks_holder(struct entry *en, struct ent_req *rq)
@@ -270,13 +273,13 @@
 	return lacks;
 }
 
-static void copy_round(struct entry *en)
+static void send_copies(struct entry *en)
 {
-	struct batch *open[MAX_OPEN];
+	struct batch *open[MAX_BATCHES];
 	size_t nr = 0, i;
 	struct ent_req *rq;
 
-	while (nr < MAX_OPEN && (rq = ring_pop(en->copies, 0))) {
+	while (nr < MAX_BATCHES && (rq = ring_pop(en->copies, 0))) {
 		struct batch *b;
 
 		if (lacks_holder(en, rq)) {
@@ -285,7 +288,7 @@
 		}
 		pthread_mutex_lock(&rq->lock);
 		rq->in_copy_queue = false;
-		b = batch_for(en, open, &nr, MAX_OPEN, rq->holder);
+		b = batch_for(en, open, &nr, MAX_BATCHES, rq->holder);
 		if (b) {
 			fill_update(rq, &b->args->updates.updates_val[b->nr]);
 			b->args->updates.updates_len = (u_int)b->nr + 1;
@@ -305,15 +308,15 @@
 
 	while (!atomic_load(&en->stopping)) {
 		clk_sleep_ms(en->set.copy_ms);
-		copy_round(en);
+		send_copies(en);
 	}
-	copy_round(en);
+	send_copies(en);
 	return NULL;
 }
 
 /* ---- Receiving ---- */
 
-static void take_tokens(struct ent_req *rq, const peer_update *u)
+static void apply_tokens(struct ent_req *rq, const peer_update *u)
 {
 	u_int i;
 
@@ -325,7 +328,7 @@
 	}
 }
 
-static void take_gens(struct ent_req *rq, const peer_update *u)
+static void apply_gens(struct ent_req *rq, const peer_update *u)
 {
 	u_int i;
 
@@ -336,7 +339,7 @@
 	}
 }
 
-static void take_end(struct ent_req *rq, const peer_update *u)
+static void apply_end(struct ent_req *rq, const peer_update *u)
 {
 	if (u->outcome == FLOW_OPEN || u->outcome > FLOW_FAILED)
 		return;
@@ -365,14 +368,14 @@
 		ok = true;
 	} else if (u->from <= rq->flow.tokens) {
 		ok = true;
-		take_tokens(rq, u);
-		take_gens(rq, u);
+		apply_tokens(rq, u);
+		apply_gens(rq, u);
 		rq->flow.endpoint = u->endpoint;
 		rq->flow.attempt = u->attempt;
 		rq->status = u->status;
 		str_copy(rq->version, u->model_version, sizeof(rq->version));
 		str_copy(rq->finish, u->finish, sizeof(rq->finish));
-		take_end(rq, u);
+		apply_end(rq, u);
 		release = u->release && rq->flow.phase != FLOW_DONE;
 	}
 	pthread_mutex_unlock(&rq->lock);
@@ -385,7 +388,7 @@
 /* ---- Taking over ---- */
 
 /* A plain call of a lost owner: nobody can tell whether it ran. */
-static void end_plain(struct ent_req *rq)
+static void end_plain_unknown(struct ent_req *rq)
 {
 	rq->flow.outcome = FLOW_FAILED;
 	rq->flow.phase = FLOW_DONE;
@@ -399,7 +402,7 @@
 	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
-static char *prompt_of(const char *body)
+static char *copy_prompt(const char *body)
 {
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
 	struct json_object *p = jsn_get(o, "prompt");
@@ -443,12 +446,12 @@
 	ent_req_log(rq, "takeover tokens=%u attempt=%u", rq->flow.tokens,
 		    rq->flow.attempt);
 	if (rq->plain) {
-		end_plain(rq);
+		end_plain_unknown(rq);
 	} else if (!rq->body) {
 		end_prompt_missing(rq);
 	} else {
 		rq->mod = ent_model_get(en, rq->service, rq->model, true);
-		rq->prompt = prompt_of(rq->body);
+		rq->prompt = copy_prompt(rq->body);
 		rq->prefix = mem_new(sizeof(*rq->prefix));
 		prefix_key_init(rq->prefix, rq->prompt, strlen(rq->prompt),
 				hsh_str(rq->model, 0));
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -11,7 +11,7 @@
 #include "base/hsh.h"
 
 /* Decisions kept per request for `explain`; the log has them all. */
-#define LOG_MAX 4096
+#define MAX_LOG_BYTES 4096
 
 static struct cds_list_head *bucket_of(struct entry *en, const char *key)
 {
@@ -84,33 +84,33 @@
 
 struct ent_req *ent_req_add(struct entry *en, struct ent_req *rq)
 {
-	struct ent_req *there;
+	struct ent_req *found;
 
 	pthread_mutex_lock(&en->table_lock);
-	there = find_locked(en, rq->key);
-	if (!there) {
+	found = find_locked(en, rq->key);
+	if (!found) {
 		cds_list_add(&rq->node, bucket_of(en, rq->key));
 		en->nr_reqs++;
-		there = rq;
+		found = rq;
 		ent_req_get(rq); /* the table's */
 	}
-	ent_req_get(there); /* the caller's */
+	ent_req_get(found); /* the caller's */
 	pthread_mutex_unlock(&en->table_lock);
-	return there;
+	return found;
 }
 
 void ent_req_remove(struct entry *en, struct ent_req *rq)
 {
-	bool there;
+	bool found;
 
 	pthread_mutex_lock(&en->table_lock);
-	there = find_locked(en, rq->key) == rq;
-	if (there) {
+	found = find_locked(en, rq->key) == rq;
+	if (found) {
 		cds_list_del(&rq->node);
 		en->nr_reqs--;
 	}
 	pthread_mutex_unlock(&en->table_lock);
-	if (there)
+	if (found)
 		ent_req_put(rq);
 }
 
@@ -201,7 +201,7 @@
 }
 
 /* The answer goes; that the key ran, and how it ended, stays. */
-static void strip(struct ent_req *rq)
+static void drop_answer(struct ent_req *rq)
 {
 	rq->stripped = true;
 	buf_free(&rq->text);
@@ -216,24 +216,24 @@
 }
 
 /* A key past its life is refused by its judges, so it may be forgotten. */
-static void expire_one(struct ent_req *rq, void *arg)
+static void expire_request(struct ent_req *rq, void *arg)
 {
 	struct entry *en = arg;
 	const int64_t now = ent_now(en);
 	const int64_t age = now - rq->arrived_ms;
-	bool over;
+	bool expired;
 
 	if (age < en->set.replay_ms)
 		return;
 	pthread_mutex_lock(&rq->lock);
-	over = age >= en->set.key_life_ms &&
-	       (rq->flow.phase == FLOW_DONE || rq->role == ENT_HOLDER ||
-		age > 4 * en->set.key_life_ms);
+	expired = age >= en->set.key_life_ms &&
+		  (rq->flow.phase == FLOW_DONE || rq->role == ENT_HOLDER ||
+		   age > 4 * en->set.key_life_ms);
 	if (rq->ended_ms && !rq->stripped &&
 	    now - rq->ended_ms >= en->set.replay_ms)
-		strip(rq);
+		drop_answer(rq);
 	pthread_mutex_unlock(&rq->lock);
-	if (over)
+	if (expired)
 		ent_req_remove(en, rq);
 }
 
@@ -246,7 +246,7 @@
 	const size_t first = en->next_expire;
 
 	en->next_expire = (first + part) % ENT_REQ_BUCKETS;
-	each_bucket(en, first, first + part, expire_one, en);
+	each_bucket(en, first, first + part, expire_request, en);
 }
 
 /* ---- The answer ---- */
@@ -305,13 +305,13 @@
 	va_end(ap);
 	log_line(LOG_LEVEL_INFO, "route", "key=%s account=%s %s", rq->key,
 		 rq->account, line);
-	if (rq->log.len + strlen(line) + 32 > LOG_MAX)
+	if (rq->log.len + strlen(line) + 32 > MAX_LOG_BYTES)
 		return;
 	buf_fmt(&rq->log, "+%lldms %s\n",
 		(long long)(ent_now(rq->en) - rq->arrived_ms), line);
 }
 
-static void count_end(struct ent_req *rq)
+static void count_outcome(struct ent_req *rq)
 {
 	struct ent_metrics *m = &rq->en->m;
 	met_value *const rows[] = {
@@ -327,7 +327,7 @@
 }
 
 /* What was set aside for a long answer goes back to the account. */
-static void refund(struct ent_req *rq)
+static void refund_unused(struct ent_req *rq)
 {
 	const double used = rq->prompt_tokens + (double)rq->flow.tokens;
 
@@ -348,8 +348,8 @@
 		close_req(rq);
 		if (rq->acct)
 			atomic_fetch_sub(&rq->acct->in_flight, 1);
-		refund(rq);
-		count_end(rq);
+		refund_unused(rq);
+		count_outcome(rq);
 	}
 	ent_req_log(rq,
 		    "end outcome=%d tokens=%u status=%d attempts=%u "
--- a/lib/entry/ent_rescue.c
+++ b/lib/entry/ent_rescue.c
@@ -9,12 +9,12 @@
 #include <string.h>
 
 /* Setting up a transfer and importing it. */
-#define MOVE_FIXED_MS 30
+#define MOVE_OVERHEAD_MS 30
 
 /* A KV cache larger than this is not worth its transfer time. */
 #define MAX_KV_BYTES (512u * 1024 * 1024)
 
-#define MOVE_CALL_MS 10000
+#define MOVE_CALL_TIMEOUT_MS 10000
 
 struct move {
 	struct entry *en;
@@ -36,7 +36,9 @@
 		.method = "GET",
 		.address = from,
 		.path = path,
-		.total_ms = left_ms < MOVE_CALL_MS ? left_ms : MOVE_CALL_MS,
+		.total_ms = left_ms < MOVE_CALL_TIMEOUT_MS
+				    ? left_ms
+				    : MOVE_CALL_TIMEOUT_MS,
 		.max_body = MAX_KV_BYTES,
 	};
 
@@ -57,8 +59,8 @@
 	return 0;
 }
 
-static bool addresses(struct move *m, uint64_t to, char from_addr[64],
-		      char to_addr[64])
+static bool find_addresses(struct move *m, uint64_t to, char from_addr[64],
+			   char to_addr[64])
 {
 	struct ent_model *mod = m->rq->mod;
 	const struct route_endpoint *a, *b;
@@ -89,7 +91,7 @@
 	mux_cancel(rq->en->mux, old);
 }
 
-static bool still_there(const struct ent_req *rq, uint64_t endpoint)
+static bool is_running_at(const struct ent_req *rq, uint64_t endpoint)
 {
 	return rq->role == ENT_OWNER && !rq->released &&
 	       rq->flow.endpoint == endpoint &&
@@ -107,7 +109,7 @@
 	bool ok = false;
 
 	pthread_mutex_lock(&rq->lock);
-	if (!still_there(rq, m->from)) {
+	if (!is_running_at(rq, m->from)) {
 		rq->kv_move_pending = false;
 		pthread_mutex_unlock(&rq->lock);
 		return;
@@ -116,14 +118,14 @@
 	ent_stream_id(rq, id, sizeof(id));
 	c = ent_choose_endpoint(rq, true);
 	pthread_mutex_unlock(&rq->lock);
-	if (c.endpoint && c.has_room && addresses(m, c.endpoint, from, to))
+	if (c.endpoint && c.has_room && find_addresses(m, c.endpoint, from, to))
 		ok = !copy_kv(m->en, from, to, id, m->end_ms - ent_now(m->en),
 			      &e);
 	pthread_mutex_lock(&rq->lock);
 	rq->kv_move_pending = false;
 	ent_req_log(rq, "move kv=%s reason=\"%s\"", ok ? "moved" : "failed",
 		    e.text);
-	if (rq->flow.attempt != attempt || !still_there(rq, m->from)) {
+	if (rq->flow.attempt != attempt || !is_running_at(rq, m->from)) {
 		if (c.endpoint && c.has_room)
 			ent_release_endpoint(rq->mod, c.endpoint, false,
 					     ent_now(m->en));
@@ -157,20 +159,20 @@
 
 /* ---- Planning ---- */
 
-struct gathering {
+struct stream_list {
 	struct entry *en;
 	uint64_t instance;
 	struct ent_req **rows;
 	size_t nr, cap;
 };
 
-static void gather(struct ent_req *rq, void *arg)
+static void collect_stream(struct ent_req *rq, void *arg)
 {
-	struct gathering *g = arg;
+	struct stream_list *g = arg;
 	bool there;
 
 	pthread_mutex_lock(&rq->lock);
-	there = still_there(rq, g->instance) && !rq->kv_move_pending;
+	there = is_running_at(rq, g->instance) && !rq->kv_move_pending;
 	pthread_mutex_unlock(&rq->lock);
 	if (!there)
 		return;
@@ -184,8 +186,8 @@
 	g->rows[g->nr++] = rq;
 }
 
-static void describe(const struct ent_req *rq, double mb_per_token,
-		     struct rescue_stream *s)
+static void describe_stream(const struct ent_req *rq, double mb_per_token,
+			    struct rescue_stream *s)
 {
 	const struct flow *f = &rq->flow;
 
@@ -199,8 +201,8 @@
 	s->weight = rq->weight * (rq->batch ? 0.5 : 1.0);
 }
 
-static void do_choice(struct entry *en, uint64_t instance, int64_t end_ms,
-		      struct ent_req *rq, const struct rescue_stream *s)
+static void apply_choice(struct entry *en, uint64_t instance, int64_t end_ms,
+			 struct ent_req *rq, const struct rescue_stream *s)
 {
 	static const char *const names[] = { "finish", "move", "continue" };
 
@@ -210,9 +212,9 @@
 		    "notice_ms=%lld",
 		    names[s->choice], s->done_tokens, s->left_tokens,
 		    (long long)(end_ms - ent_now(en)));
-	if (s->choice == RESCUE_CONTINUE && still_there(rq, instance)) {
+	if (s->choice == RESCUE_CONTINUE && is_running_at(rq, instance)) {
 		continue_elsewhere(rq, rq->flow.attempt);
-	} else if (s->choice == RESCUE_MOVE && still_there(rq, instance)) {
+	} else if (s->choice == RESCUE_MOVE && is_running_at(rq, instance)) {
 		struct move *m = mem_new(sizeof(*m));
 
 		m->en = en;
@@ -239,7 +241,8 @@
 	return x->start_ms < y->start_ms ? -1 : x->start_ms > y->start_ms;
 }
 
-static void plan_for(struct entry *en, struct gathering *g, int64_t end_ms)
+static void plan_streams(struct entry *en, struct stream_list *g,
+			 int64_t end_ms)
 {
 	MEM_AUTO struct rescue_stream *s = mem_new(g->nr * sizeof(*s));
 	struct ent_model *m = g->rows[0]->mod;
@@ -247,7 +250,7 @@
 	struct rescue_notice n = {
 		.now_ms = ent_now(en),
 		.end_ms = end_ms,
-		.move_fixed_ms = MOVE_FIXED_MS,
+		.move_fixed_ms = MOVE_OVERHEAD_MS,
 	};
 	double mb_per_token = 0.125;
 	size_t i;
@@ -267,24 +270,24 @@
 	pthread_mutex_unlock(&m->lock);
 	for (i = 0; i < g->nr; i++) {
 		pthread_mutex_lock(&g->rows[i]->lock);
-		describe(g->rows[i], mb_per_token, &s[i]);
+		describe_stream(g->rows[i], mb_per_token, &s[i]);
 		s[i].tag = i;
 		pthread_mutex_unlock(&g->rows[i]->lock);
 	}
 	rescue_plan(&n, s, g->nr);
 	qsort(s, g->nr, sizeof(*s), by_start);
 	for (i = 0; i < g->nr; i++)
-		do_choice(en, g->instance, end_ms, g->rows[s[i].tag], &s[i]);
+		apply_choice(en, g->instance, end_ms, g->rows[s[i].tag], &s[i]);
 }
 
 void ent_rescue(struct entry *en, uint64_t instance, int64_t end_ms)
 {
-	struct gathering g = { .en = en, .instance = instance };
+	struct stream_list g = { .en = en, .instance = instance };
 	size_t i;
 
-	ent_req_each_open(en, gather, &g);
+	ent_req_each_open(en, collect_stream, &g);
 	if (g.nr)
-		plan_for(en, &g, end_ms);
+		plan_streams(en, &g, end_ms);
 	for (i = 0; i < g.nr; i++)
 		ent_req_put(g.rows[i]);
 	free(g.rows);
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -14,10 +14,10 @@
 #define STREAM_IDLE_MS 8000
 
 /* An endpoint that failed is left alone for a while. */
-#define AVOID_MS 1000
+#define ENDPOINT_BACKOFF_MS 1000
 
 /* Batch work leaves this part of an endpoint's slots to interactive work. */
-#define BATCH_RESERVE 0.25
+#define BATCH_RESERVED_FRACTION 0.25
 
 /* ---- Streams ---- */
 
@@ -43,7 +43,7 @@
 	if (ep) {
 		route_done(ep, now);
 		if (failed)
-			ep->avoid_until_ms = now + AVOID_MS;
+			ep->avoid_until_ms = now + ENDPOINT_BACKOFF_MS;
 	}
 	pthread_mutex_unlock(&m->lock);
 }
@@ -55,8 +55,8 @@
 }
 
 /* Gives an event to the flow and does what it says. Lock held. */
-static bool tell_flow(struct ent_req *rq, enum flow_event_kind kind,
-		      uint32_t attempt, uint32_t offset)
+static bool handle_flow_event(struct ent_req *rq, enum flow_event_kind kind,
+			      uint32_t attempt, uint32_t offset)
 {
 	const struct flow_event ev = { kind, attempt, offset };
 	struct flow_action a;
@@ -82,7 +82,8 @@
  * Each answer is checked against what was asked: an order of a paused holder
  * may have changed what the endpoint runs.
  */
-static bool right_model(struct ent_req *rq, const struct engine_event *ev)
+static bool is_expected_version(struct ent_req *rq,
+				const struct engine_event *ev)
 {
 	if (*ev->model && strcmp(ev->model, rq->model))
 		return false;
@@ -97,16 +98,17 @@
 {
 	struct ent_req *rq = s->rq;
 
-	if (!right_model(rq, ev)) {
+	if (!is_expected_version(rq, ev)) {
 		met_inc(rq->en->m.stale_versions);
 		log_engine(rq, "other-version");
-		tell_flow(rq, FLOW_EV_MISMATCH, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_MISMATCH, s->attempt, 0);
 		return false;
 	}
 	if (*ev->finish)
 		str_copy(rq->finish, ev->finish, sizeof(rq->finish));
 	if (ev->is_token) {
-		if (tell_flow(rq, FLOW_EV_TOKEN, s->attempt, ev->offset)) {
+		if (handle_flow_event(rq, FLOW_EV_TOKEN, s->attempt,
+				      ev->offset)) {
 			ent_req_append(rq, ev->text);
 			ent_queue_copy(rq);
 			pthread_cond_broadcast(&rq->changed);
@@ -120,7 +122,7 @@
 {
 	struct stream *s = arg;
 	struct engine_event ev;
-	bool go;
+	bool keep_reading;
 
 	if (engine_read_event(e->id, e->data, s->next, &ev))
 		return false;
@@ -130,9 +132,9 @@
 	}
 	pthread_mutex_lock(&s->rq->lock);
 	/* An older attempt may still be talking. */
-	go = s->attempt == s->rq->flow.attempt && on_token(s, &ev);
+	keep_reading = s->attempt == s->rq->flow.attempt && on_token(s, &ev);
 	pthread_mutex_unlock(&s->rq->lock);
-	return go;
+	return keep_reading;
 }
 
 static bool on_data(const char *data, size_t len, void *arg)
@@ -143,40 +145,41 @@
 }
 
 /* The reply to a run that is the caller's fault; it would be so anywhere. */
-static bool is_callers_fault(int status)
+static bool is_client_error(int status)
 {
 	return status == 400 || status == 413 || status == 422;
 }
 
-static void end_callers_fault(struct ent_req *rq, int status)
+static void end_client_error(struct ent_req *rq, int status)
 {
 	rq->status = status;
 	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
 /* What the end of a stream means to the flow. Lock held. */
-static void judge_end(struct stream *s, enum err_code why)
+static void classify_end(struct stream *s, enum err_code why)
 {
 	struct ent_req *rq = s->rq;
 
 	if (why == ERR_NONE && s->status == 200 && s->done) {
-		tell_flow(rq, FLOW_EV_END, s->attempt, s->next);
+		handle_flow_event(rq, FLOW_EV_END, s->attempt, s->next);
 	} else if (why == ERR_REFUSED && !s->resumed) {
 		log_engine(rq, "no-connection");
-		tell_flow(rq, FLOW_EV_REFUSED, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_REFUSED, s->attempt, 0);
 	} else if (s->status == 429 || s->status == 503) {
 		log_engine(rq, "busy");
-		tell_flow(rq, FLOW_EV_REFUSED, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_REFUSED, s->attempt, 0);
 	} else if (s->status == 404) {
 		log_engine(rq, "gone");
-		tell_flow(rq, s->resumed ? FLOW_EV_GONE : FLOW_EV_REFUSED,
-			  s->attempt, 0);
-	} else if (!s->resumed && is_callers_fault(s->status)) {
+		handle_flow_event(rq,
+				  s->resumed ? FLOW_EV_GONE : FLOW_EV_REFUSED,
+				  s->attempt, 0);
+	} else if (!s->resumed && is_client_error(s->status)) {
 		log_engine(rq, "bad-request");
-		end_callers_fault(rq, s->status);
+		end_client_error(rq, s->status);
 	} else {
 		log_engine(rq, "broken");
-		tell_flow(rq, FLOW_EV_BROKEN, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_BROKEN, s->attempt, 0);
 	}
 }
 
@@ -192,7 +195,7 @@
 	pthread_mutex_lock(&rq->lock);
 	if (s->attempt == rq->flow.attempt && rq->flow.phase != FLOW_QUEUED &&
 	    !rq->released)
-		judge_end(s, why);
+		classify_end(s, why);
 	pthread_mutex_unlock(&rq->lock);
 	/* Room came free: the queue may go on. */
 	ent_send_command(s->en, ENT_CMD_WAKE, NULL, 0, 0, 0);
@@ -242,7 +245,7 @@
 	ent_req_put(rq);
 	free(s);
 	ent_release_endpoint(rq->mod, endpoint, false, ent_now(rq->en));
-	tell_flow(rq, FLOW_EV_REFUSED, rq->flow.attempt, 0);
+	handle_flow_event(rq, FLOW_EV_REFUSED, rq->flow.attempt, 0);
 }
 
 static void call_engine(struct ent_req *rq, const struct flow_action *a)
@@ -270,7 +273,7 @@
 	    engine_print_run(&run, &body)) {
 		ent_release_endpoint(rq->mod, a->endpoint, false,
 				     ent_now(rq->en));
-		tell_flow(rq, FLOW_EV_REFUSED, a->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_REFUSED, a->attempt, 0);
 		return;
 	}
 	filled.body = body.data;
@@ -291,7 +294,7 @@
 	struct route_endpoint *ep;
 
 	if (!endpoint_address(rq->mod, a->endpoint, address, sizeof(address))) {
-		tell_flow(rq, FLOW_EV_GONE, a->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_GONE, a->attempt, 0);
 		return;
 	}
 	ent_stream_id(rq, id, sizeof(id));
@@ -314,7 +317,7 @@
 }
 
 /* Retries pay from the account's budget; rescue from a reclaim does not. */
-static bool retry_paid(struct ent_req *rq)
+static bool charge_retry(struct ent_req *rq)
 {
 	bool ok;
 
@@ -334,7 +337,7 @@
 	case FLOW_ROUTE:
 		if (rq->flow.tokens)
 			met_inc(rq->en->m.continued);
-		if (!rq->flow.tokens && !retry_paid(rq)) {
+		if (!rq->flow.tokens && !charge_retry(rq)) {
 			ent_give_up(rq, "retry-budget");
 			return;
 		}
@@ -366,7 +369,7 @@
 	ask->zone = rq->en->self.zone;
 	ask->avoid = rq->flow.avoid;
 	ask->recompute_weight = rq->mod->recompute_weight;
-	ask->reserve = rq->batch ? BATCH_RESERVE : 0;
+	ask->reserve = rq->batch ? BATCH_RESERVED_FRACTION : 0;
 }
 
 static void log_choice(struct ent_req *rq, const struct route_choice *c,
@@ -431,15 +434,15 @@
 	pthread_cond_broadcast(&rq->changed);
 }
 
-#define ROUTE_AGAIN_MS 50
+#define ROUTE_RETRY_MS 50
 
 /* How long an exact continuation is waited for before a marked restart. */
-#define EXACT_WAIT_MS 1500
+#define SAME_VERSION_WAIT_MS 1500
 
-static void nothing_to_choose(struct ent_req *rq, int64_t now)
+static void handle_no_endpoint(struct ent_req *rq, int64_t now)
 {
 	if (!rq->start_by_ms)
-		rq->start_by_ms = now + EXACT_WAIT_MS;
+		rq->start_by_ms = now + SAME_VERSION_WAIT_MS;
 	if (rq->flow.tokens && now >= rq->start_by_ms)
 		restart_answer(rq);
 	if (now >= rq->flow.deadline_ms ||
@@ -447,7 +450,7 @@
 		ent_give_up(rq, "no-endpoint");
 		return;
 	}
-	ent_send_command(rq->en, ENT_CMD_ROUTE, rq, 0, now + ROUTE_AGAIN_MS, 0);
+	ent_send_command(rq->en, ENT_CMD_ROUTE, rq, 0, now + ROUTE_RETRY_MS, 0);
 }
 
 /* Routes a request that is due; the lock is held. */
@@ -461,7 +464,7 @@
 		return;
 	c = ent_choose_endpoint(rq, false);
 	if (!c.endpoint) {
-		nothing_to_choose(rq, now);
+		handle_no_endpoint(rq, now);
 		return;
 	}
 	rq->start_by_ms = 0;
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -13,13 +13,13 @@
 #include "base/jsn.h"
 
 /* Blocks of prompt text remembered per model: 16 Ki x 72 B is 1.2 MB. */
-#define PREFIX_BLOCKS 16384
+#define MAX_PREFIX_BLOCKS 16384
 
 /* Waiting requests per model; more could not start in time anyway. */
-#define QUEUE_MAX 1024
+#define MAX_QUEUED 1024
 
 /* Endpoints of one model known at once; the target has 2,700 in all. */
-#define TABLE_MAX 4096
+#define MAX_ENDPOINTS 4096
 
 /* ---- Reading a snapshot ---- */
 
@@ -290,9 +290,9 @@
 		str_copy(found->service, service, sizeof(found->service));
 		str_copy(found->name, name, sizeof(found->name));
 		pthread_mutex_init(&found->lock, NULL);
-		found->table = route_create(en->self.id, TABLE_MAX);
-		found->prefix = prefix_create(PREFIX_BLOCKS);
-		found->queue = wfq_create(WFQ_FAIR, QUEUE_MAX);
+		found->table = route_create(en->self.id, MAX_ENDPOINTS);
+		found->prefix = prefix_create(MAX_PREFIX_BLOCKS);
+		found->queue = wfq_create(WFQ_FAIR, MAX_QUEUED);
 		rnd_seed(&found->rnd, rnd_secret());
 		found->first_token_ms = 1000;
 		found->between_tokens_ms = 50;
@@ -345,7 +345,7 @@
 	return body;
 }
 
-static void apply_model_facts(struct entry *en, const struct doc *d)
+static void update_models_and_accounts(struct entry *en, const struct doc *d)
 {
 	size_t i;
 
@@ -405,7 +405,7 @@
 }
 
 /* A full list drops the oldest view. */
-static void act_on_view(struct entry *en, const char *body)
+static void apply_view(struct entry *en, const char *body)
 {
 	struct err e = ERR_INIT;
 	struct view *v = view_parse(body, strlen(body), &e);
@@ -444,11 +444,11 @@
  * Chance of a reclaim per second: one a day when all is calm; within half a
  * minute where notices are coming in, since waves take a zone as a whole.
  */
-#define CALM_RISK (1.0 / 86400.0)
-#define ALERT_RISK (1.0 / 30.0)
+#define BASE_RECLAIM_RISK (1.0 / 86400.0)
+#define ALERT_RECLAIM_RISK (1.0 / 30.0)
 #define ALERT_MS 60000
 
-static bool on_alert(const struct entry *en, const char *zone)
+static bool zone_has_alert(const struct entry *en, const char *zone)
 {
 	size_t i;
 
@@ -480,7 +480,9 @@
 	ep->kv_mb_per_s = k ? k->kv_mb_per_s : 0;
 	ep->kv_mb_per_token = k ? k->kv_mb_per_token : 0.125;
 	if (c->reclaimable)
-		ep->risk_per_s = on_alert(en, c->zone) ? ALERT_RISK : CALM_RISK;
+		ep->risk_per_s = zone_has_alert(en, c->zone)
+					 ? ALERT_RECLAIM_RISK
+					 : BASE_RECLAIM_RISK;
 }
 
 static void update_table(struct entry *en, const struct ent_inst *in)
@@ -552,7 +554,7 @@
 	return in;
 }
 
-static void show_inst(struct entry *en, const struct ent_inst *in)
+static void update_instance(struct entry *en, const struct ent_inst *in)
 {
 	if (!strcmp(in->info.kind, "engine"))
 		update_table(en, in);
@@ -565,18 +567,18 @@
  * known before it is: their endpoints were then given defaults, half the real
  * prefill rate, and the few started later drew a fifth of all requests.
  */
-static void show_service(struct entry *en, const char *service)
+static void update_service_instances(struct entry *en, const char *service)
 {
 	struct ent_inst *in;
 
 	cds_list_for_each_entry(in, &en->insts, node) {
 		if (!strcmp(in->info.service, service))
-			show_inst(en, in);
+			update_instance(en, in);
 	}
 }
 
-static void act_on_doc(struct entry *en, const char *name, const char *body,
-		       uint64_t rev)
+static void apply_doc(struct entry *en, const char *name, const char *body,
+		      uint64_t rev)
 {
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
 	struct err e = ERR_INIT;
@@ -597,9 +599,9 @@
 	if (old)
 		cds_list_del(&old->node);
 	cds_list_add(&d->node, &en->docs);
-	apply_model_facts(en, parsed);
+	update_models_and_accounts(en, parsed);
 	ent_publish(en);
-	show_service(en, d->service);
+	update_service_instances(en, d->service);
 	log_line(LOG_LEVEL_INFO, "config",
 		 "document=%s revision=%llu in-force=yes", d->service,
 		 (unsigned long long)rev);
@@ -625,14 +627,14 @@
 	en->alerts[i].until_ms = ent_now(en) + ALERT_MS;
 	cds_list_for_each_entry(in, &en->insts, node) {
 		if (!strcmp(in->info.zone, zone) && in->info.reclaimable)
-			show_inst(en, in);
+			update_instance(en, in);
 	}
 }
 
 static void start_rescue(struct entry *en, struct ent_inst *in, int64_t end)
 {
 	in->reclaim_ms = end;
-	show_inst(en, in);
+	update_instance(en, in);
 	if (in->info.reclaimable)
 		raise_alert(en, in->info.zone);
 	log_line(LOG_LEVEL_INFO, "reclaim", "instance=%s left_ms=%lld",
@@ -640,8 +642,7 @@
 	ent_send_command(en, ENT_CMD_RESCUE, NULL, in->id, 0, end);
 }
 
-static void act_on_instance(struct entry *en, const char *name,
-			    const char *body)
+static void apply_instance(struct entry *en, const char *name, const char *body)
 {
 	const uint64_t id = hsh_str(name + strlen("inst/"), 0);
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
@@ -655,7 +656,7 @@
 	/* An address that serves a new life is not under the old notice. */
 	if (in->info.state == CLOUD_STARTING || in->info.state == CLOUD_GONE)
 		in->reclaim_ms = 0;
-	show_inst(en, in);
+	update_instance(en, in);
 	if (known && in->info.state == CLOUD_GONE)
 		ent_send_command(en, ENT_CMD_RESCUE, NULL, id, 0, ent_now(en));
 	if (in->info.state == CLOUD_GONE) {
@@ -671,7 +672,7 @@
 }
 
 /* A notice heard twice, or for one already gone, changes nothing. */
-static void act_on_notice(struct entry *en, const char *name, const char *body)
+static void apply_notice(struct entry *en, const char *name, const char *body)
 {
 	const uint64_t id = hsh_str(name + strlen("notice/"), 0);
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
@@ -692,11 +693,11 @@
 	if (!body)
 		return;
 	if (!strncmp(name, "doc/", 4))
-		act_on_doc(en, name, body, rev);
+		apply_doc(en, name, body, rev);
 	else if (!strncmp(name, "view/", 5))
-		act_on_view(en, body);
+		apply_view(en, body);
 	else if (!strncmp(name, "inst/", 5))
-		act_on_instance(en, name, body);
+		apply_instance(en, name, body);
 	else if (!strncmp(name, "notice/", 7))
-		act_on_notice(en, name, body);
+		apply_notice(en, name, body);
 }
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -16,7 +16,7 @@
 #define MAX_VOTES 262144
 
 /* Streams: a run per request, state polls, and room for both to overlap. */
-#define MUX_PART 3
+#define MUX_STREAMS_PER_REQUEST 3
 
 /* ---- Metrics ---- */
 
@@ -141,7 +141,8 @@
 	en->hcl = hcl_create();
 	en->kv = kv_etcd_create(en->hcl, en->set.key_value);
 	en->links = links_create(LINK_THREADS);
-	en->mux = mux_create((size_t)en->set.in_flight * MUX_PART + 128);
+	en->mux = mux_create(
+		(size_t)en->set.in_flight * MUX_STREAMS_PER_REQUEST + 128);
 	en->swim = swim_create(&en->self, &cfg, rnd_secret());
 	en->spread = spread_create();
 	en->judge = judge_create(en->self.id, en->set.key_life_ms, MAX_VOTES);
@@ -213,7 +214,7 @@
  * The bound of the drain: what is still open goes to the holder, which takes
  * it over; the caller is told to reconnect at an event's end.
  */
-static void release(struct ent_req *rq, void *arg)
+static void release_to_holder(struct ent_req *rq, void *arg)
 {
 	struct entry *en = arg;
 
@@ -228,7 +229,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-static void copy_final(struct ent_req *rq, void *arg)
+static void queue_final_copy(struct ent_req *rq, void *arg)
 {
 	(void)arg;
 	pthread_mutex_lock(&rq->lock);
@@ -257,8 +258,8 @@
 	wait_until(en, start + en->set.entry_list_ms, false);
 	wait_until(en, start + en->set.drain_ms, true);
 	atomic_store(&en->releasing, true);
-	ent_req_each(en, copy_final, en);
-	ent_req_each_open(en, release, en);
+	ent_req_each(en, queue_final_copy, en);
+	ent_req_each_open(en, release_to_holder, en);
 	wait_until(en, ent_now(en) + 2000, true);
 	/* Votes go last: until now this entry still judged. */
 	ent_transfer_votes(en);
@@ -290,7 +291,7 @@
 
 /* ---- Stopping ---- */
 
-static void close_one(struct ent_req *rq, void *arg)
+static void end_request(struct ent_req *rq, void *arg)
 {
 	(void)arg;
 	pthread_mutex_lock(&rq->lock);
@@ -298,7 +299,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-static void forget(struct ent_req *rq, void *arg)
+static void remove_request(struct ent_req *rq, void *arg)
 {
 	ent_req_remove(arg, rq);
 }
@@ -340,8 +341,8 @@
 	pthread_join(en->member_thread, NULL);
 	mux_free(en->mux);
 	links_free(en->links);
-	ent_req_each_open(en, close_one, en);
-	ent_req_each(en, forget, en);
+	ent_req_each_open(en, end_request, en);
+	ent_req_each(en, remove_request, en);
 	free_rings(en);
 	ent_state_free(en);
 	judge_free(en->judge);
