--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -1,12 +1,12 @@
 /*
- * Writing answers: streams of events, whole replies, and problems.
+ * Answers to clients: event streams, whole replies and problem documents.
  */
 #include "entry/ent_answer.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* ---- Replies that are not the whole result ---- */
+/* ---- Problem documents ---- */
 
 void ent_refuse(struct entry *en, struct hsv_request *rq, int status,
 		const char *run, int64_t retry_ms, const char *title,
@@ -88,7 +88,10 @@
 	buf_str(b, "}");
 }
 
-/* Event ids are GENERATION.OFFSET: what the caller holds after the event. */
+/*
+ * Event ids are GENERATION.OFFSET: the generation, and the number of tokens
+ * that the client has after the event.
+ */
 static bool write_tokens(struct ent_writer *w, const struct ent_batch *t)
 {
 	BUF_AUTO b = BUF_INIT;
@@ -148,7 +151,7 @@
 	hsv_reply(w->rq, 200, "application/json", extra, b.data, b.len);
 }
 
-/* An outcome other than whole, before any byte of an answer. */
+/* Replies with a problem document; no byte of an answer was sent. */
 static void write_failure(struct ent_writer *w, const struct ent_batch *t)
 {
 	const bool is_client_error = t->status >= 400 && t->status < 500;
@@ -182,8 +185,9 @@
 /* ---- Serving a feed ---- */
 
 /*
- * The id replaces that of the last token, with which a caller that is cut off
- * right now would ask for the rest of tokens it has dropped.
+ * Tells the client that its tokens are void. The event id replaces that of the
+ * last token: a client that disconnected now would otherwise request the rest
+ * of tokens that it has dropped.
  */
 static bool write_restart(struct ent_writer *w)
 {
@@ -196,8 +200,8 @@
 }
 
 /*
- * Begins the stream, with the mark that the answer starts anew if one is due.
- * It may be due before the new run has a token to send it with.
+ * Begins the stream if necessary, and sends the restart event if it is due. It
+ * may be due before the new run has a token.
  */
 static bool begin_or_restart_stream(struct ent_writer *w)
 {
@@ -209,7 +213,7 @@
 	return write_restart(w);
 }
 
-/* One step; false when the reply is over. */
+/* Writes one batch; false after the end of the reply. */
 static bool serve_batch(struct ent_writer *w, struct ent_batch *t)
 {
 	uint32_t i;
@@ -244,7 +248,10 @@
 	return false;
 }
 
-/* The source is gone. In mid-stream the caller is told to reconnect. */
+/*
+ * Ends the reply after the loss of its source: a client of a stream that has
+ * begun is told to reconnect, others to retry.
+ */
 static void end_interrupted(struct ent_writer *w, bool handed_on)
 {
 	if (w->begun) {
--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -1,6 +1,7 @@
 /*
- * Claims: asking a key's judges, and answering as one. The rules are those
- * of lib/claim; here they meet the network.
+ * Claims: requests votes of a key's judges and votes as a judge. The protocol
+ * is in lib/claim; this file does the I/O. Also the choice of holders, grants,
+ * and the transfer of votes at a drain.
  */
 #include "entry/entry_internal.h"
 
@@ -12,17 +13,17 @@
 #include "base/hsh.h"
 
 /*
- * A judge answers in a round trip; a second of waiting would already miss
- * the first token, so what has not come by then counts as lost.
+ * Time-out of calls to a judge. A judge answers within a round trip; waiting
+ * for a second would already miss the target for the first token.
  */
 #define JUDGE_TIMEOUT_MS 300
 
-/* Views that are tried for a slot with live judges. */
+/* Random slots tried for one whose judges are all alive. */
 #define MAX_GRANT_TRIES 64
 
 #define VOTE_TRANSFER_TIMEOUT_MS 1000
 
-/* ---- Answering ---- */
+/* ---- Voting as a judge ---- */
 
 struct judge_reply ent_judge_decide(struct entry *en,
 				    const struct judge_ask *ask)
@@ -39,14 +40,15 @@
 	return r;
 }
 
-/* ---- Asking ---- */
+/* ---- Requesting votes ---- */
 
 struct judge_target {
 	struct view_member member;
-	bool alive;
-	bool other_zone;
+	bool alive;	 /* by the membership, not even suspect */
+	bool other_zone; /* not in the zone of this entry */
 };
 
+/* The vote on one claim. Shared with the callbacks of its calls. */
 struct ballot {
 	struct entry *en;
 	struct ent_req *rq;
@@ -58,16 +60,17 @@
 	struct judge_target reserve;
 	bool has_reserve;
 	unsigned nr;
-	bool pending[VIEW_JUDGES];
-	bool held;
-	unsigned held_place;
+	bool pending[VIEW_JUDGES]; /* a reply is outstanding */
+	bool held;		   /* a judge accepted the copy */
+	unsigned held_place;	   /* its index */
 	char held_by[SET_ADDR_MAX];
 };
 
+/* A call to a judge, or to the reserve in its place. */
 struct vote_request {
 	struct ballot *b;
-	unsigned place;
-	bool with_record;
+	unsigned place;	  /* index of the judge */
+	bool with_record; /* asks the judge to hold the copy, too */
 	bool to_reserve;
 };
 
@@ -96,7 +99,7 @@
 	t->other_zone = strcmp(m->zone, en->self.zone) != 0;
 }
 
-/* The judges of the request's slot; false if its view is not known. */
+/* Fills in the judges of the request's slot; false if its view is unknown. */
 static bool find_judges(struct entry *en, const struct ent_req *rq,
 			struct ballot *b)
 {
@@ -126,6 +129,7 @@
 static void send_vote_request(struct ballot *b, unsigned place,
 			      bool with_record, bool to_reserve);
 
+/* Records the reply of a judge; NULL: none. Called with the lock held. */
 static void record_reply(struct ballot *b, unsigned place,
 			 const struct judge_reply *reply)
 {
@@ -162,9 +166,9 @@
 		}
 	}
 	/*
-	 * A judge that is gone may have handed its votes to the reserve. One
-	 * that merely did not answer may still vote, so a reserve that has
-	 * not adopted refuses, and nothing is counted twice.
+	 * A judge that has left may have transferred its votes to the reserve.
+	 * If it merely did not reply, it may still vote; the reserve then has
+	 * not adopted its votes and refuses, so no vote is counted twice.
 	 */
 	if (!a->to_reserve && b->has_reserve &&
 	    (why != ERR_NONE ||
@@ -247,8 +251,9 @@
 }
 
 /*
- * The judge that gets the record: alive, another instance, and in another
- * availability zone if one can be had. `skip`: places tried already.
+ * Chooses the judge that is to hold the copy: alive, not this entry, and in
+ * another availability zone if possible. Returns its index, or -1. `excluded`:
+ * bit mask of indexes.
  */
 static int choose_holder(struct entry *en, const struct ballot *b,
 			 unsigned excluded)
@@ -279,8 +284,9 @@
 }
 
 /*
- * Waits until the outcome stands and the copy is held, or nothing more can
- * come. Called with the lock held.
+ * Waits until the outcome is final and, if `need_held`, the copy of a won claim
+ * is held; or until no reply is outstanding, or a time-out. Called with the
+ * lock held.
  */
 static void wait_for_outcome(struct ballot *b, bool need_held)
 {
@@ -331,7 +337,7 @@
 	met_inc(rows[o]);
 }
 
-/* Asks one more judge to hold the copy, after the first would not. */
+/* Asks one more judge to hold the copy, after the first one did not accept. */
 static void try_other_holder(struct entry *en, struct ballot *b, unsigned tried)
 {
 	const int other = choose_holder(en, b, tried);
@@ -385,9 +391,9 @@
 	return r;
 }
 
-/* ---- Another holder, later ---- */
+/* ---- Replacing the holder ---- */
 
-/* A request that found no holder asks again after this. */
+/* Interval of searches for a holder of the same request. */
 #define REHOME_RETRY_MS 500
 
 struct rehome_call {
@@ -422,7 +428,10 @@
 	free(h);
 }
 
-/* The places of the judges that cannot hold the copy now. Lock held. */
+/*
+ * Returns the bit mask of judges that cannot hold the copy now. The request's
+ * lock is held.
+ */
 static unsigned excluded_places(const struct ent_req *rq,
 				const struct ballot *b)
 {
@@ -430,7 +439,7 @@
 
 	if (*rq->holder)
 		places |= 1u << rq->holder_place;
-	/* It may be dead for a while before membership says so. */
+	/* The previous owner may have crashed and not be marked dead yet. */
 	for (i = 0; i < b->nr; i++) {
 		if (b->judge[i].member.id == rq->previous_owner)
 			places |= 1u << i;
@@ -438,7 +447,7 @@
 	return places;
 }
 
-/* The judge that is to hold the copy; false if there is none. */
+/* Chooses the next judge to hold the copy; false if there is none. */
 static bool next_holder(struct entry *en, struct ent_req *rq,
 			struct rehome_call *h)
 {
@@ -494,7 +503,7 @@
 	}
 }
 
-/* ---- Finding what others know of a key ---- */
+/* ---- Finding the owner of a key ---- */
 
 size_t ent_key_addresses(struct entry *en, uint64_t view, unsigned slot,
 			 uint64_t winner, char out[5][SET_ADDR_MAX],
@@ -548,9 +557,9 @@
 }
 
 /*
- * During an outage of the key-value service a view cannot change, so some of
- * its judges may be dead for long. Choosing the slot here keeps fresh keys
- * away from them.
+ * During an outage of the key-value service the view cannot change, so some of
+ * its judges may stay dead for long. The choice of the slot avoids them for new
+ * keys.
  */
 bool ent_new_grant(struct entry *en, struct grant *g)
 {
@@ -586,7 +595,7 @@
 	return found;
 }
 
-/* ---- Leaving ---- */
+/* ---- Transferring votes at a drain ---- */
 
 static void fill_votes(peer_adopt_args *a, const struct judge_vote *v, size_t n)
 {
@@ -603,7 +612,10 @@
 	}
 }
 
-/* One reserve's part; the same votes again if no answer came. */
+/*
+ * Transfers the votes of a view to one of its reserves. False if no reply came;
+ * a retry sends the same votes.
+ */
 static bool transfer_votes_to(struct entry *en, const struct view *v,
 			      const struct view_member *reserve)
 {
@@ -649,7 +661,10 @@
 	}
 }
 
-/* A copy of the members: no lock may be held over the calls. */
+/*
+ * Copies the views that have this entry as a member, since no lock may be held
+ * during the calls. Returns their number.
+ */
 static size_t copy_own_views(struct entry *en, struct view *out[ENT_MAX_VIEWS])
 {
 	const struct ent_snap *s;
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -1,10 +1,10 @@
 /*
- * Copies: the record of each request and its tokens, at one more entry, in
- * another availability zone where there is one.
+ * Replication of requests: a second entry, in another availability zone if
+ * there is one, holds a copy of each request's record and tokens.
  *
- * The owner sends what is new in batches, per holder, every copy_ms. If the
- * owner is lost, the holder becomes the owner: it reads the engine's run
- * again, or continues from the prompt and the tokens it has.
+ * The owner sends changes to each holder in batches, every copy_ms. If the
+ * owner is lost, the holder takes over: it resumes reading the engine's run, or
+ * continues from the prompt and the tokens that it has.
  */
 #include "entry/entry_internal.h"
 
@@ -17,7 +17,7 @@
 
 #define UPDATE_TIMEOUT_MS 1000
 
-/* Requests in one batch to one holder; bounds a message to some 100 KB. */
+/* Requests per batch to a holder; limits a message to about 100 KB. */
 #define MAX_BATCH_REQUESTS 256
 
 /* ---- The record ---- */
@@ -45,7 +45,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-/* The same record again is the same copy. */
+/* A record that is received again from the same owner is not a conflict. */
 static bool is_owned_by(struct ent_req *rq, uint64_t owner)
 {
 	bool same;
@@ -126,7 +126,7 @@
 		rq->in_copy_queue = true;
 		return;
 	}
-	/* Full: the next token or the end asks again. */
+	/* The ring is full: the next token or the end queues it again. */
 	ent_req_put(rq);
 	met_inc(rq->en->m.copy_failed);
 }
@@ -171,6 +171,7 @@
 	rq->copied_tokens = f->tokens;
 }
 
+/* Updates to one holder. */
 struct batch {
 	struct entry *en;
 	size_t nr;
@@ -195,7 +196,7 @@
 			rq->copied_tokens = 0;
 			rehome = !strcmp(rq->holder, b->holder);
 		} else if (!*all) {
-			/* It has not all that came before: from the start. */
+			/* A copy lacks earlier tokens: send all. */
 			rq->copied_tokens = 0;
 		} else if (rq->flow.phase == FLOW_DONE) {
 			rq->end_copied = true;
@@ -230,6 +231,10 @@
 	free(b);
 }
 
+/*
+ * Returns a batch for the holder that is not full, new or from `open`; NULL if
+ * there are `max` batches already.
+ */
 static struct batch *batch_for(struct entry *en, struct batch **open,
 			       size_t *nr, size_t max, const char *holder)
 {
@@ -254,9 +259,9 @@
 	return b;
 }
 
-#define MAX_BATCHES 64
+#define MAX_BATCHES 64 /* per round */
 
-/* True if the request has no holder; asks for one unless it just did. */
+/* True if the request has no holder; searches for one if it is due. */
 static bool lacks_holder(struct entry *en, struct ent_req *rq)
 {
 	const int64_t now = ent_now(en);
@@ -363,7 +368,7 @@
 	if (!rq)
 		return false;
 	pthread_mutex_lock(&rq->lock);
-	/* After a takeover the old owner's news are of an older life. */
+	/* After a takeover or the end, updates of the old owner are stale. */
 	if (rq->role != ENT_HOLDER || rq->flow.phase == FLOW_DONE) {
 		ok = true;
 	} else if (u->from <= rq->flow.tokens) {
@@ -387,7 +392,7 @@
 
 /* ---- Taking over ---- */
 
-/* A plain call of a lost owner: nobody can tell whether it ran. */
+/* Ends a plain call of a lost owner: it is unknown whether it ran. */
 static void end_plain_unknown(struct ent_req *rq)
 {
 	rq->flow.outcome = FLOW_FAILED;
@@ -419,7 +424,7 @@
 	struct flow_action a;
 
 	memcpy(gens, old.gens, sizeof(gens));
-	/* A seed of its own keeps its generations apart from the owner's. */
+	/* With another seed than the owner's, generations stay distinct. */
 	flow_init(&rq->flow, rnd_secret(), rq->prompt_tokens, old.deadline_ms);
 	flow_adopt(&rq->flow, gens, old.nr_gens, old.tokens, old.attempt,
 		   old.endpoint);
@@ -458,7 +463,7 @@
 		continue_run(rq);
 	}
 	pthread_mutex_unlock(&rq->lock);
-	/* The copy that is left is the only one: make another. */
+	/* This is the only copy now: have another one made. */
 	ent_rehome(en, rq);
 }
 
@@ -490,7 +495,7 @@
 	ent_req_each(en, take_over_if_dead, en);
 }
 
-/* ---- Answering a peer that has the caller ---- */
+/* ---- Serving peers that have the client ---- */
 
 void ent_serve_fetch(struct entry *en, const peer_fetch_args *a,
 		     peer_fetch_reply *r)
@@ -506,9 +511,9 @@
 		return;
 	}
 	/*
-	 * A model request may be continued on suspicion, since generations
-	 * keep two runs apart. A plain call's outcome may still arrive from an
-	 * owner that only its asker cannot reach.
+	 * A model request may be taken over on suspicion, since generations
+	 * distinguish the two runs. A plain call may not: its outcome may still
+	 * arrive from an owner that only the calling peer cannot reach.
 	 */
 	if (a->owner_lost && (!rq->plain || owner_dead(en, rq)))
 		ent_take_over(en, rq);
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -1,5 +1,5 @@
 /*
- * The table of requests: those this entry owns and the copies it holds.
+ * The table of requests: those that this entry owns, and copies that it holds.
  */
 #include "entry/entry_internal.h"
 
@@ -10,7 +10,7 @@
 
 #include "base/hsh.h"
 
-/* Decisions kept per request for `explain`; the log has them all. */
+/* Text of decisions kept per request for `explain`; the log has all. */
 #define MAX_LOG_BYTES 4096
 
 static struct cds_list_head *bucket_of(struct entry *en, const char *key)
@@ -114,7 +114,10 @@
 		ent_req_put(rq);
 }
 
-/* Referenced first: `fn` takes locks that come before the table's. */
+/*
+ * Calls `fn` for each request and drops its reference. The references let the
+ * caller release table_lock first: `fn` takes locks that come before it.
+ */
 static void call_each(struct entry *en, struct ent_req **all, size_t n,
 		      void (*fn)(struct ent_req *rq, void *arg), void *arg)
 {
@@ -195,12 +198,12 @@
 		atomic_fetch_sub(&en->nr_open, 1);
 	}
 	pthread_mutex_unlock(&en->table_lock);
-	/* The caller has a reference of its own. */
+	/* Not the last reference: the caller has its own. */
 	if (was_open)
 		ent_req_put(rq);
 }
 
-/* The answer goes; that the key ran, and how it ended, stays. */
+/* Frees the answer but keeps the key and its outcome. */
 static void drop_answer(struct ent_req *rq)
 {
 	rq->stripped = true;
@@ -215,7 +218,10 @@
 	rq->flow.nr_gens = 0;
 }
 
-/* A key past its life is refused by its judges, so it may be forgotten. */
+/*
+ * Drops the answer at the end of replay_ms, and the request at the end of the
+ * key's life: the judges then refuse the key.
+ */
 static void expire_request(struct ent_req *rq, void *arg)
 {
 	struct entry *en = arg;
@@ -237,7 +243,7 @@
 		ent_req_remove(en, rq);
 }
 
-/* Parts of the table that are looked over in turn, one a second. */
+/* ent_req_expire() checks one part of the table per call. */
 #define EXPIRE_PARTS 16
 
 void ent_req_expire(struct entry *en)
@@ -255,7 +261,7 @@
 {
 	const uint32_t n = rq->flow.tokens;
 
-	/* flow.tokens counts this one already. */
+	/* flow.tokens includes this one. */
 	if (n > rq->token_ends_cap) {
 		rq->token_ends_cap = rq->token_ends_cap ? 2 * rq->token_ends_cap
 							: 64;
@@ -326,7 +332,7 @@
 	met_add(m->generated, rq->flow.tokens);
 }
 
-/* What was set aside for a long answer goes back to the account. */
+/* Returns the tokens that were charged but not used to the account. */
 static void refund_unused(struct ent_req *rq)
 {
 	const double used = rq->prompt_tokens + (double)rq->flow.tokens;
@@ -356,8 +362,8 @@
 		    "recomputed=%u",
 		    rq->flow.outcome, rq->flow.tokens, rq->status,
 		    rq->flow.attempt, rq->flow.recomputed);
-	/* The prompt is no longer needed; answers are kept for replay, in just
-	 * the room they take: thousands of them outweigh all else. */
+	/* The prompt is no longer needed. Answers are kept for replay without
+	 * spare capacity: thousands of them dominate the memory usage. */
 	buf_trim(&rq->text);
 	buf_trim(&rq->log);
 	free(rq->prompt);
--- a/lib/entry/ent_rescue.c
+++ b/lib/entry/ent_rescue.c
@@ -1,6 +1,7 @@
 /*
- * Reclaim notices: what becomes of the streams at an endpoint that goes.
- * The choice is rescue's, for all of this entry's streams there at once.
+ * Reclaim notices: finishes, moves or continues elsewhere the streams of the
+ * endpoint that is reclaimed. place/rescue plans this for all of this entry's
+ * streams there at once.
  */
 #include "entry/entry_internal.h"
 
@@ -8,24 +9,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Setting up a transfer and importing it. */
+/* Time of a transfer that does not depend on its size: set-up and import. */
 #define MOVE_OVERHEAD_MS 30
 
-/* A KV cache larger than this is not worth its transfer time. */
+/* Larger KV caches are not worth the transfer time. */
 #define MAX_KV_BYTES (512u * 1024 * 1024)
 
-#define MOVE_CALL_TIMEOUT_MS 10000
+#define MOVE_CALL_TIMEOUT_MS 10000 /* each for export and import */
 
+/* A KV cache transfer to be done by the mover thread. */
 struct move {
 	struct entry *en;
 	struct ent_req *rq;
-	uint64_t from;
-	int64_t start_ms;
-	int64_t end_ms;
+	uint64_t from;	  /* endpoint */
+	int64_t start_ms; /* as planned */
+	int64_t end_ms;	  /* end of the instance */
 };
 
 /* ---- The mover thread ---- */
 
+/* Copies the KV cache of run `id` between two addresses. Returns 0 or -1. */
 static int copy_kv(struct entry *en, const char *from, const char *to,
 		   const char *id, int64_t left_ms, struct err *e)
 {
@@ -59,6 +62,7 @@
 	return 0;
 }
 
+/* Looks up both endpoints' addresses; false if one is unknown. */
 static bool find_addresses(struct move *m, uint64_t to, char from_addr[64],
 			   char to_addr[64])
 {
@@ -76,7 +80,7 @@
 	return a && b;
 }
 
-/* Continue from prompt and tokens: the way that always works. */
+/* Continues from the prompt and the tokens so far, which is always possible. */
 static void continue_elsewhere(struct ent_req *rq, uint32_t attempt)
 {
 	const struct flow_event ev = { FLOW_EV_MOVE, attempt, 0 };
@@ -91,6 +95,7 @@
 	mux_cancel(rq->en->mux, old);
 }
 
+/* True if this entry owns the request and runs it on `endpoint`. Lock held. */
 static bool is_running_at(const struct ent_req *rq, uint64_t endpoint)
 {
 	return rq->role == ENT_OWNER && !rq->released &&
@@ -159,6 +164,7 @@
 
 /* ---- Planning ---- */
 
+/* Referenced requests that run on `instance`. */
 struct stream_list {
 	struct entry *en;
 	uint64_t instance;
@@ -259,7 +265,7 @@
 	n.between_tokens_ms = (double)m->between_tokens_ms;
 	ep = route_find(m->table, g->instance);
 	if (ep) {
-		/* The streams of other entries share the endpoint's link. */
+		/* Streams of other entries share the endpoint's bandwidth. */
 		const double all = ep->streams > (int64_t)g->nr
 					   ? (double)ep->streams
 					   : (double)g->nr;
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -1,6 +1,6 @@
 /*
- * Running requests: calls to engines, their streams, and retries. The choices
- * are those of route and flow; reclaim rescue is in ent_rescue.c.
+ * Runs of requests: calls to engines, their streams, and retries. Decisions are
+ * made by route and flow; rescue from reclaims is in ent_rescue.c.
  */
 #include "entry/entry_internal.h"
 
@@ -10,27 +10,29 @@
 
 #include "base/hsh.h"
 
-/* An engine that sends no token for so long has lost the run. */
+/* An engine that sends nothing for this long has probably lost the run. */
 #define STREAM_IDLE_MS 8000
 
-/* An endpoint that failed is left alone for a while. */
+/* Backoff after the failure of an endpoint. */
 #define ENDPOINT_BACKOFF_MS 1000
 
-/* Batch work leaves this part of an endpoint's slots to interactive work. */
+/* Fraction of an endpoint's slots that batch requests leave free for
+ * interactive ones. */
 #define BATCH_RESERVED_FRACTION 0.25
 
 /* ---- Streams ---- */
 
+/* An open stream of an engine. */
 struct stream {
 	struct entry *en;
 	struct ent_req *rq;
 	uint64_t endpoint;
 	uint32_t attempt;
-	bool resumed;
+	bool resumed; /* reads an existing run again */
 	struct sse sse;
-	uint32_t next;
-	bool done;
-	int status;
+	uint32_t next; /* offset of the next token */
+	bool done;     /* the engine's end mark was read */
+	int status;    /* HTTP; 0: none yet */
 };
 
 void ent_release_endpoint(struct ent_model *m, uint64_t id, bool failed,
@@ -54,7 +56,10 @@
 		    rq->flow.attempt, rq->flow.tokens);
 }
 
-/* Gives an event to the flow and does what it says. Lock held. */
+/*
+ * Passes an event to the flow and executes the resulting action. True if it is
+ * a new token. Lock held.
+ */
 static bool handle_flow_event(struct ent_req *rq, enum flow_event_kind kind,
 			      uint32_t attempt, uint32_t offset)
 {
@@ -79,8 +84,9 @@
 }
 
 /*
- * Each answer is checked against what was asked: an order of a paused holder
- * may have changed what the endpoint runs.
+ * True if the answer is by the requested model, and by the version of the
+ * tokens so far. Checked on each event: a stale order of a lease holder that
+ * was paused may have changed what the endpoint runs.
  */
 static bool is_expected_version(struct ent_req *rq,
 				const struct engine_event *ev)
@@ -131,7 +137,7 @@
 		return true;
 	}
 	pthread_mutex_lock(&s->rq->lock);
-	/* An older attempt may still be talking. */
+	/* Events of an earlier attempt may still arrive. */
 	keep_reading = s->attempt == s->rq->flow.attempt && on_token(s, &ev);
 	pthread_mutex_unlock(&s->rq->lock);
 	return keep_reading;
@@ -144,7 +150,7 @@
 	return sse_feed(&s->sse, data, len, on_event, s);
 }
 
-/* The reply to a run that is the caller's fault; it would be so anywhere. */
+/* Client errors, which every endpoint would report. */
 static bool is_client_error(int status)
 {
 	return status == 400 || status == 413 || status == 422;
@@ -156,7 +162,7 @@
 	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
-/* What the end of a stream means to the flow. Lock held. */
+/* Reports the end of a stream to the flow. Lock held. */
 static void classify_end(struct stream *s, enum err_code why)
 {
 	struct ent_req *rq = s->rq;
@@ -197,7 +203,7 @@
 	    !rq->released)
 		classify_end(s, why);
 	pthread_mutex_unlock(&rq->lock);
-	/* Room came free: the queue may go on. */
+	/* A slot became free: check the wait queue. */
 	ent_send_command(s->en, ENT_CMD_WAKE, NULL, 0, 0, 0);
 	sse_free(&s->sse);
 	ent_req_put(rq);
@@ -308,7 +314,7 @@
 	open_stream(rq, &mr, a->endpoint, true);
 }
 
-/* ---- Doing what the flow says; the request's lock is held ---- */
+/* ---- Executing flow actions; the request's lock is held ---- */
 
 void ent_give_up(struct ent_req *rq, const char *why)
 {
@@ -316,7 +322,11 @@
 	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
-/* Retries pay from the account's budget; rescue from a reclaim does not. */
+/*
+ * Charges a retry to the account's retry budget; false if it is spent. The
+ * first attempt is free. Runs that have tokens, such as those rescued from a
+ * reclaim, are continued without a charge.
+ */
 static bool charge_retry(struct ent_req *rq)
 {
 	bool ok;
@@ -355,7 +365,7 @@
 	}
 }
 
-/* ---- Choosing ---- */
+/* ---- Choosing endpoints ---- */
 
 /* Called with the model's lock held. */
 void ent_fill_query(const struct ent_req *rq, struct route_query *ask)
@@ -394,7 +404,6 @@
 		    c->cached_chars, c->considered, rows);
 }
 
-/* Chooses and notes the choice in the table. */
 struct route_choice ent_choose_endpoint(struct ent_req *rq, bool only_with_room)
 {
 	struct route_score s[ROUTE_MAX_SCORES];
@@ -418,8 +427,8 @@
 }
 
 /*
- * Nothing runs the version that the tokens so far came from: after a while
- * the answer begins anew, marked, on whatever the document names now.
+ * Starts the answer over with any model version, when no endpoint has run the
+ * version of the tokens so far for SAME_VERSION_WAIT_MS. The client is told.
  */
 static void restart_answer(struct ent_req *rq)
 {
@@ -434,9 +443,10 @@
 	pthread_cond_broadcast(&rq->changed);
 }
 
-#define ROUTE_RETRY_MS 50
+#define ROUTE_RETRY_MS 50 /* interval of attempts without an endpoint */
 
-/* How long an exact continuation is waited for before a marked restart. */
+/* Wait for an endpoint with the version of the tokens so far, before the answer
+ * is restarted. */
 #define SAME_VERSION_WAIT_MS 1500
 
 static void handle_no_endpoint(struct ent_req *rq, int64_t now)
@@ -453,7 +463,6 @@
 	ent_send_command(rq->en, ENT_CMD_ROUTE, rq, 0, now + ROUTE_RETRY_MS, 0);
 }
 
-/* Routes a request that is due; the lock is held. */
 void ent_route_and_call(struct ent_req *rq)
 {
 	const int64_t now = ent_now(rq->en);
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -1,6 +1,7 @@
 /*
- * Snapshots of what is in force, and the tables of endpoints built from the
- * items. Everything here but the look-ups runs on the member thread.
+ * Snapshots of documents, views and members, and the endpoint tables that are
+ * built from the gossiped items. All but the look-ups runs on the member
+ * thread.
  */
 #include "entry/entry_internal.h"
 
@@ -12,13 +13,13 @@
 #include "base/hsh.h"
 #include "base/jsn.h"
 
-/* Blocks of prompt text remembered per model: 16 Ki x 72 B is 1.2 MB. */
+/* Blocks in the prefix index of a model: 16 Ki x 72 B is 1.2 MB. */
 #define MAX_PREFIX_BLOCKS 16384
 
-/* Waiting requests per model; more could not start in time anyway. */
+/* Queued requests per model; further ones could not start in time. */
 #define MAX_QUEUED 1024
 
-/* Endpoints of one model known at once; the target has 2,700 in all. */
+/* Endpoints per model; the target has 2,700 in total. */
 #define MAX_ENDPOINTS 4096
 
 /* ---- Reading a snapshot ---- */
@@ -74,8 +75,8 @@
 }
 
 /*
- * Looked up by the hash of the key, so that the time taken tells nothing of
- * the key itself; the final comparison takes constant time all the same.
+ * Searches by the hash of the key, so that the time taken reveals nothing about
+ * the key. The final comparison takes constant time nevertheless.
  */
 const struct ent_account_ref *ent_snap_account(const struct ent_snap *s,
 					       const char *bearer)
@@ -240,7 +241,7 @@
 		 detail);
 }
 
-/* ---- Process-lived tables ---- */
+/* ---- Accounts, models and pools ---- */
 
 struct ent_account *ent_account_get(struct entry *en, const char *service,
 				    const char *account, double limit)
@@ -326,9 +327,12 @@
 	return found;
 }
 
-/* ---- Acting on items ---- */
+/* ---- Applying items ---- */
 
-/* Copies an item's body out, so that no lock is held while it is read. */
+/*
+ * Returns a copy of the item's body and sets `*rev`; NULL if it is unknown. A
+ * copy, so that no lock is held while it is parsed.
+ */
 static char *item_body(struct entry *en, const char *name, uint64_t *rev)
 {
 	const struct spread_item *it;
@@ -386,8 +390,9 @@
 }
 
 /*
- * All but the newest view are kept for as long as a grant may name them, and
- * a little, since clocks differ; the newest for a peer that joins later.
+ * Sets the expiry of all items of views but the latest to twice the life of a
+ * key: grants may refer to them for one life, and clocks differ. The latest
+ * does not expire, for peers that join later.
  */
 static void expire_old_views(struct entry *en)
 {
@@ -404,7 +409,7 @@
 	pthread_mutex_unlock(&en->member_lock);
 }
 
-/* A full list drops the oldest view. */
+/* Adds a view; drops the oldest if there are ENT_MAX_VIEWS already. */
 static void apply_view(struct entry *en, const char *body)
 {
 	struct err e = ERR_INIT;
@@ -441,8 +446,9 @@
 }
 
 /*
- * Chance of a reclaim per second: one a day when all is calm; within half a
- * minute where notices are coming in, since waves take a zone as a whole.
+ * Probability of a reclaim per second: usually one a day; one per 30 s in a
+ * zone with a notice in the last ALERT_MS, since reclaims come in waves that
+ * affect a whole zone.
  */
 #define BASE_RECLAIM_RISK (1.0 / 86400.0)
 #define ALERT_RECLAIM_RISK (1.0 / 30.0)
@@ -498,7 +504,7 @@
 		if (known)
 			route_remove(m->table, in->id);
 	} else {
-		/* What its own report said stays until the next one. */
+		/* Keep what it reported itself until its next report. */
 		if (known) {
 			ep.ready = known->ready;
 			memcpy(ep.version, known->version, sizeof(ep.version));
@@ -563,9 +569,11 @@
 }
 
 /*
- * What a machine class can do is the document's word, and instances may be
- * known before it is: their endpoints were then given defaults, half the real
- * prefill rate, and the few started later drew a fifth of all requests.
+ * Updates the endpoints of a service after a change of its document, which
+ * specifies the performance of the machine classes. Instances may be known
+ * before the document and then have defaults. When these were kept, at half the
+ * real prefill rate, the few instances started later got a fifth of all
+ * requests.
  */
 static void update_service_instances(struct entry *en, const char *service)
 {
@@ -587,7 +595,7 @@
 
 	parsed = doc_parse(name, jsn_str(o, "text", ""), &e);
 	if (!parsed) {
-		/* Accepted documents were valid; this one is kept out. */
+		/* Only valid documents are accepted; ignore this one. */
 		ent_alarm(en, "document-unreadable", e.text);
 		return;
 	}
@@ -653,7 +661,7 @@
 		return;
 	in = find_inst(en, id, true);
 	cloud_read_instance(o, &in->info);
-	/* An address that serves a new life is not under the old notice. */
+	/* The notice was for the previous instance at this address. */
 	if (in->info.state == CLOUD_STARTING || in->info.state == CLOUD_GONE)
 		in->reclaim_ms = 0;
 	update_instance(en, in);
@@ -671,7 +679,7 @@
 						    : 0));
 }
 
-/* A notice heard twice, or for one already gone, changes nothing. */
+/* A repeated notice, or one for a gone instance, has no effect. */
 static void apply_notice(struct entry *en, const char *name, const char *body)
 {
 	const uint64_t id = hsh_str(name + strlen("notice/"), 0);
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -7,15 +7,16 @@
 #include "base/hsh.h"
 #include "entry/entry_internal.h"
 
-/* Threads that call peers: so many can hang without slowing the rest. */
+/* Threads that call peers: up to this many peers can hang without delaying
+ * calls to the others. */
 #define LINK_THREADS 24
 
-#define RING_CAP 8192
+#define RING_CAP 8192 /* queued pointers */
 
-/* Votes at a judge: the target needs 54,000 (docs/CAPACITY.md). */
+/* Votes kept as a judge: the target needs 54,000 (docs/CAPACITY.md). */
 #define MAX_VOTES 262144
 
-/* Streams: a run per request, state polls, and room for both to overlap. */
+/* One for the run, one for load reports, and one for overlaps of both. */
 #define MUX_STREAMS_PER_REQUEST 3
 
 /* ---- Metrics ---- */
@@ -174,7 +175,7 @@
 	struct entry *en = mem_new(sizeof(*en));
 	struct hsv_config cfg;
 
-	/* A caller or peer that goes away must not end the process. */
+	/* Writing to a closed connection must not end the process. */
 	signal(SIGPIPE, SIG_IGN);
 	en->set = *s;
 	en->clk = clk_real();
@@ -208,11 +209,11 @@
 	return en->self.peer;
 }
 
-/* ---- Leaving ---- */
+/* ---- Draining ---- */
 
 /*
- * The bound of the drain: what is still open goes to the holder, which takes
- * it over; the caller is told to reconnect at an event's end.
+ * At the end of the drain: hands an open request over to its holder, which
+ * takes it over. The client is told to reconnect, between two events.
  */
 static void release_to_holder(struct ent_req *rq, void *arg)
 {
@@ -254,14 +255,14 @@
 	struct entry *en = arg;
 	const int64_t start = ent_now(en);
 
-	/* Callers may come for as long as they may keep their list. */
+	/* Clients may use a cached list that has this entry. */
 	wait_until(en, start + en->set.entry_list_ms, false);
 	wait_until(en, start + en->set.drain_ms, true);
 	atomic_store(&en->releasing, true);
 	ent_req_each(en, queue_final_copy, en);
 	ent_req_each_open(en, release_to_holder, en);
 	wait_until(en, ent_now(en) + 2000, true);
-	/* Votes go last: until now this entry still judged. */
+	/* Votes are transferred last, since voting stops for good with it. */
 	ent_transfer_votes(en);
 	clk_sleep_ms(2 * en->set.copy_ms);
 	atomic_store(&en->drained, true);
--- a/lib/entry/entry.h
+++ b/lib/entry/entry.h
@@ -1,16 +1,18 @@
 /*
- * entry: one entry instance: callers' HTTP, routing, and its peers.
+ * entry: an entry process: serves clients over HTTP, routes their requests to
+ * endpoints, and exchanges state with its peers. Internal functions and types
+ * have the prefix `ent_` (entry).
  *
- * The shell around the decision modules. Threads, each with one duty:
+ * Performs the I/O for the decision modules, which are pure. Threads:
  *
- *   workers    one caller each, from accept to the last byte (CivetWeb)
- *   mux        reads all engines' streams
- *   dispatch   queue, retries, load reports, reclaim rescue
- *   mover      KV-cache transfers, one after another
- *   copier     copies of records and tokens to the entries that hold them
- *   member     probes, spreading, and the snapshots others read
- *   rpc        answers peers
- *   links      a bounded pool that calls peers
+ *   workers    serve one client connection each (CivetWeb)
+ *   mux        reads the streams of all engines
+ *   dispatch   wait queue, retries, load reports, reclaim notices
+ *   mover      KV cache transfers, one at a time
+ *   copier     replicates request records and tokens to their holders
+ *   member     failure detection, gossip, publication of snapshots
+ *   rpc        answers the calls of peers
+ *   links      a bounded pool of threads that call peers
  *
  * Snapshots of documents, views and members are published through RCU and
  * read without locks on the request path.
@@ -23,23 +25,36 @@
 
 struct entry;
 
-/* Starts everything; `s` is copied. NULL with an error. */
+/*
+ * Starts an entry with the settings `s`, which are copied. Returns NULL and
+ * sets `*e` if it cannot listen on its addresses. Ignores SIGPIPE in the whole
+ * process. At most one entry per process. Free with entry_stop().
+ */
 struct entry *entry_start(const struct set *s, struct err *e);
 
-/* The addresses it listens on; valid until entry_stop. */
+/*
+ * The addresses, "host:port", on which it serves clients and peers. Owned by
+ * the entry and valid until entry_stop().
+ */
 const char *entry_http_address(const struct entry *en);
 const char *entry_peer_address(const struct entry *en);
 
 /*
- * Begins to leave: unlisted at once, new work for as long as callers may keep
- * their list, then what is open is finished or handed on. Returns at once.
+ * Starts the drain and returns at once; later calls have no effect. The entry
+ * announces at once that it leaves, but accepts new requests for
+ * `entry_list_ms`, as long as clients may use a cached list of entries. Open
+ * requests may finish until `drain_ms` after the start of the drain; those of
+ * models that are still open then are handed over to their holders.
  */
 void entry_drain(struct entry *en);
 
-/* True once the drain is over and nothing is open. */
+/* True once the drain is complete and the entry may be stopped. */
 bool entry_drained(struct entry *en);
 
-/* Stops and frees everything. */
+/*
+ * Stops the threads, ends the requests that are still open, and frees the
+ * entry. Waits for a drain in progress, which it cuts short.
+ */
 void entry_stop(struct entry *en);
 
 #endif
