--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -44,7 +44,7 @@
 
 struct judge_target {
 	struct view_member member;
-	bool alive;	 /* by the membership, not even suspect */
+	bool alive;	 /* by the membership, and not suspect */
 	bool other_zone; /* not in the zone of this entry */
 };
 
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -92,9 +92,9 @@
 		cds_list_add(&rq->node, bucket_of(en, rq->key));
 		en->nr_reqs++;
 		found = rq;
-		ent_req_get(rq); /* the table's */
+		ent_req_get(rq); /* the table's reference */
 	}
-	ent_req_get(found); /* the caller's */
+	ent_req_get(found); /* the caller's reference */
 	pthread_mutex_unlock(&en->table_lock);
 	return found;
 }
@@ -219,8 +219,9 @@
 }
 
 /*
- * Drops the answer at the end of replay_ms, and the request at the end of the
- * key's life: the judges then refuse the key.
+ * Drops an answer replay_ms after its end, and removes a request at the end of
+ * its key's life, since the judges then refuse the key. A request that this
+ * entry still runs is kept for up to four lives.
  */
 static void expire_request(struct ent_req *rq, void *arg)
 {
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -427,8 +427,9 @@
 }
 
 /*
- * Starts the answer over with any model version, when no endpoint has run the
- * version of the tokens so far for SAME_VERSION_WAIT_MS. The client is told.
+ * Starts the answer over, if no endpoint has run the model version of the
+ * tokens so far for SAME_VERSION_WAIT_MS. The new run takes whatever version
+ * the document names now. The client receives a restart event.
  */
 static void restart_answer(struct ent_req *rq)
 {
@@ -445,8 +446,11 @@
 
 #define ROUTE_RETRY_MS 50 /* interval of attempts without an endpoint */
 
-/* Wait for an endpoint with the version of the tokens so far, before the answer
- * is restarted. */
+/*
+ * Wait for an endpoint that runs the version of the tokens so far, before the
+ * answer is restarted; and for any endpoint, before a request that has not run
+ * is given up.
+ */
 #define SAME_VERSION_WAIT_MS 1500
 
 static void handle_no_endpoint(struct ent_req *rq, int64_t now)
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -390,9 +390,9 @@
 }
 
 /*
- * Sets the expiry of all items of views but the latest to twice the life of a
- * key: grants may refer to them for one life, and clocks differ. The latest
- * does not expire, for peers that join later.
+ * Lets the items of all views but the latest expire after twice the life of a
+ * key: grants may refer to them for one life, and clocks differ. The latest is
+ * kept for peers that join later.
  */
 static void expire_old_views(struct entry *en)
 {
@@ -504,7 +504,7 @@
 		if (known)
 			route_remove(m->table, in->id);
 	} else {
-		/* Keep what it reported itself until its next report. */
+		/* Keep what the endpoint reported until its next report. */
 		if (known) {
 			ep.ready = known->ready;
 			memcpy(ep.version, known->version, sizeof(ep.version));
@@ -661,7 +661,7 @@
 		return;
 	in = find_inst(en, id, true);
 	cloud_read_instance(o, &in->info);
-	/* The notice was for the previous instance at this address. */
+	/* A notice does not apply to a new instance at the same address. */
 	if (in->info.state == CLOUD_STARTING || in->info.state == CLOUD_GONE)
 		in->reclaim_ms = 0;
 	update_instance(en, in);
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -16,7 +16,7 @@
 /* Votes kept as a judge: the target needs 54,000 (docs/CAPACITY.md). */
 #define MAX_VOTES 262144
 
-/* One for the run, one for load reports, and one for overlaps of both. */
+/* For its run and load reports, with a margin for overlaps of both. */
 #define MUX_STREAMS_PER_REQUEST 3
 
 /* ---- Metrics ---- */
@@ -262,7 +262,7 @@
 	ent_req_each(en, queue_final_copy, en);
 	ent_req_each_open(en, release_to_holder, en);
 	wait_until(en, ent_now(en) + 2000, true);
-	/* Votes are transferred last, since voting stops for good with it. */
+	/* Last, since this entry votes as a judge until then. */
 	ent_transfer_votes(en);
 	clk_sleep_ms(2 * en->set.copy_ms);
 	atomic_store(&en->drained, true);
--- a/lib/entry/entry_internal.h
+++ b/lib/entry/entry_internal.h
@@ -347,8 +347,10 @@
  * return are valid until the end of the enclosing pub_read_lock() section.
  */
 const struct ent_snap *ent_snap(const struct entry *en);
-/* Looks up the view with this number, the latest view, a member by id, a
- * document by service name. NULL if unknown. */
+/*
+ * Look up the view with a number, the latest view, a member by id and a
+ * document by service name. NULL if there is none.
+ */
 const struct view *ent_snap_view(const struct ent_snap *s, uint64_t number);
 const struct view *ent_snap_current(const struct ent_snap *s);
 const struct ent_member *ent_snap_member(const struct ent_snap *s, uint64_t id);
@@ -362,7 +364,9 @@
  * period. Member thread only, apart from ent_state_init().
  */
 void ent_publish(struct entry *en);
+/* Initializes the lists of entry and publishes an empty snapshot. */
 void ent_state_init(struct entry *en);
+/* Frees them with their contents; no other thread may run any more. */
 void ent_state_free(struct entry *en);
 /*
  * Applies the current revision of an item: a document, a view, an instance or a
@@ -375,8 +379,10 @@
  */
 struct ent_account *ent_account_get(struct entry *en, const char *service,
 				    const char *account, double limit);
-/* Find a model or a pool, or create it; NULL if unknown and not `create`. Valid
- * until ent_state_free(). */
+/*
+ * Find a model or a pool, or create it. NULL if it is unknown and `create` is
+ * not set. Valid until ent_state_free().
+ */
 struct ent_model *ent_model_get(struct entry *en, const char *service,
 				const char *name, bool create);
 struct ent_pool *ent_pool_get(struct entry *en, const char *service,
@@ -397,8 +403,10 @@
 enum spread_verdict ent_put_item(struct entry *en, const char *name,
 				 uint64_t rev, const void *body, size_t len,
 				 int64_t ttl_ms);
-/* Conversions to and from messages; the filled-in fields are to be freed by
- * xdr_free(). */
+/*
+ * Fill in messages and read them. Strings and arrays that are filled in belong
+ * to the message and are freed by xdr_free().
+ */
 void ent_fill_head(struct entry *en, peer_head *h);
 void ent_fill_member(const struct view_member *m, peer_member *p);
 /* False if the addresses are malformed. */
@@ -420,6 +428,7 @@
  * True if neither the key-value service nor a peer was reached for cut_off_ms.
  */
 bool ent_is_cut_off(struct entry *en);
+/* `now`: monotonic, in ms. */
 void ent_fill_item(const struct spread_item *it, peer_item *p, int64_t now);
 /* Lists recently changed items in a new array; member_lock held. */
 void ent_list_recent(struct entry *en, peer_name **out, u_int *len);
@@ -445,6 +454,7 @@
 int ent_rpc_open(struct entry *en, struct err *e);
 /* Thread function; returns after ent_rpc_stop(). */
 void *ent_rpc_run(void *arg);
+/* Ends ent_rpc_run(); the caller joins the thread. */
 void ent_rpc_stop(struct entry *en);
 /*
  * Appends the JSON answer to a status call: "members", "revisions",
@@ -593,8 +603,10 @@
 void ent_poll_for_request(struct entry *en, struct ent_model *m);
 /* Requests load reports that are due. To be called periodically. */
 void ent_poll_model(struct entry *en, struct ent_model *m);
-/* Ends queued requests that waited too long, and routes others while there is
- * room. */
+/*
+ * Ends queued requests that waited too long, and routes others while there is
+ * room.
+ */
 void ent_dispatch_queue(struct entry *en, struct ent_model *m);
 /*
  * Chooses an endpoint for a request that waits for one, and calls it. Without
--- a/scripts/takeover_test.sh
+++ b/scripts/takeover_test.sh
@@ -1,8 +1,10 @@
 #!/bin/bash
-# An entry is killed at a chosen step of a request it owns, and the caller
-# comes back. Steps are recognised by what the entries log and what the caller
-# holds, never by the clock. Usage: takeover_test.sh [REPEATS]
-# STEPS, ENGINES, BACKS and GROUPS_OF_CASES choose fewer cases.
+# Kills an entry at a chosen step of a request that it owns; the client then
+# reconnects and must get one complete answer. Steps are detected by the
+# entries' logs and by the tokens that the client has received, never by elapsed
+# time.
+# Usage: takeover_test.sh [REPEATS]
+# The variables STEPS, ENGINES, BACKS and GROUPS_OF_CASES select fewer cases.
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
 trap cluster_stop EXIT
@@ -12,12 +14,13 @@
 ACCOUNT=nord-quay-key
 TOKENS=12
 
-# Prompts of 400 characters take a quarter of a second to the first token.
+# Prompt tokens per second of the stand-in engines: with prompts of 400
+# characters, the first token takes a quarter of a second.
 PREFILL=400
 
 NR=0
 
-# fresh COPY_MS: a new cluster; copies leave every COPY_MS.
+# fresh COPY_MS: starts a new cluster, in which copies are sent every COPY_MS.
 fresh() {
 	cluster_stop
 	DEAD=
@@ -27,7 +30,8 @@
 		$CTL apply "$DOCUMENT" --base 0 --wait >/dev/null && wait_ready
 }
 
-# await FILE PATTERN: until a line of the log matches; prints the last one.
+# await FILE PATTERN: waits about 10 s for a matching line of the log, and
+# prints the last one.
 await() {
 	local i
 	for i in $(seq 1 1000); do
@@ -42,12 +46,12 @@
 	cat "$DIR/$1.http"
 }
 
-# entry_at PEER_ADDRESS: the name of the entry that answers there.
+# entry_at PEER_ADDRESS: prints the name of the entry with this address.
 entry_at() {
 	grep -l "peer=$1\$" "$DIR"/entry-*.out | sed 's/.*\/\(entry-[0-9]*\)\.out/\1/'
 }
 
-# another NAME...: an entry that runs and is none of these.
+# another NAME...: prints a running entry that is none of these.
 another() {
 	local i
 	for i in $(seq 1 "$ENTRIES"); do
@@ -58,7 +62,7 @@
 	done
 }
 
-# engine_of KEY ENTRY: the stand-in that runs the request.
+# engine_of KEY ENTRY: prints the stand-in engine that runs the request.
 engine_of() {
 	local name address
 	name=$(grep -E "key=$1 .*choose endpoint=" "$DIR/$2.log" | tail -1 |
@@ -67,7 +71,8 @@
 	grep -l "^ready $address\$" "$DIR"/engine-*.out | sed 's/.*\/\(.*\)\.out/\1/'
 }
 
-# open_caller NAME OPTIONS...: a caller on two pipes.
+# open_caller NAME OPTIONS...: starts a stand-in client that is controlled by
+# two pipes.
 open_caller() {
 	local name=$1
 	shift
@@ -76,8 +81,8 @@
 		"$@" <"$DIR/$name.in" >"$DIR/$name.answer" 2>"$DIR/$name.err" &
 }
 
-# new_request [OPTIONS...]: caller `one` on descriptors 3 and 4, `two` on 5
-# and 6, both with the same request.
+# new_request [OPTIONS...]: starts two clients with the same request: `one` on
+# the descriptors 3 and 4, `two` on 5 and 6.
 new_request() {
 	local g
 	NR=$((NR + 1))
@@ -95,12 +100,12 @@
 	exec 3>&- 4<&- 5>&- 6<&-
 }
 
-# told: the caller's answer to the last command, in ANSWER.
+# told: reads client one's result of the last command into ANSWER.
 told() {
 	read -r ANSWER <&4
 }
 
-# one COMMAND...: the first caller does it.
+# one COMMAND...: has client one execute a command.
 one() {
 	echo "$*" >&3
 	told
@@ -111,23 +116,23 @@
 	DEAD="$DEAD $1"
 }
 
-# holder_of: the entry that has the copy of the request.
+# holder_of: prints the entry that holds the copy of the request.
 holder_of() {
 	local line
 	line=$(await "$DIR/$OWNER.log" "key=$REQUEST .*claim outcome=won") || return 1
 	entry_at "${line##*holder=}"
 }
 
-# answer NAME FIELD: a field of the last answer.
+# answer FIELD: prints a field of ANSWER.
 answer() {
 	echo "$ANSWER" | tr ' ' '\n' | sed -n "s/^$1=//p"
 }
 
-# whole NAME: the caller holds one whole answer, and another caller with the
-# same key gets that one at every entry.
+# whole NAME: checks that client one has a complete answer, and that client two,
+# which has the same key, gets the same answer from every entry.
 whole() {
 	local first result i same=true
-	expect "$1: whole" [ "${ANSWER%% *} $(answer held) $(answer bad)" = "done $TOKENS 0" ]
+	expect "$1: complete answer" [ "${ANSWER%% *} $(answer held) $(answer bad)" = "done $TOKENS 0" ]
 	[ "${ANSWER%% *} $(answer held) $(answer bad)" = "done $TOKENS 0" ] ||
 		echo "$1: $ANSWER: $(tr '\n' '|' <"$DIR/one-$NR.err")"
 	first=$(answer hash)
@@ -141,14 +146,14 @@
 		result="${ANSWER%% *} $(answer held) $(answer bad) $(answer hash)"
 		[ "$result" = "done $TOKENS 0 $first" ] && continue
 		same=false
-		echo "$1: again at entry-$i: $ANSWER, first $first"
+		echo "$1: replay at entry-$i: $ANSWER, first $first"
 	done
-	expect "$1: the same answer again" $same
+	expect "$1: same answer from every entry" $same
 }
 
-# ---- Steps: each ends with the owner killed ----
+# ---- Steps: each kills the owner at its end ----
 
-# The claim is won; the caller holds nothing, and no copy but the record left.
+# The claim is won. The client has no token, and only the record was copied.
 step_claim() {
 	echo "ask $(address_of "$OWNER")" >&3
 	HOLDER=$(holder_of)
@@ -156,14 +161,14 @@
 	told
 }
 
-# The caller holds tokens; its holder has the record only (copies are rare).
+# The client has tokens; the holder has only the record, since copies are rare.
 step_first() {
 	one ask "$(address_of "$OWNER")" "$HELD"
 	HOLDER=$(holder_of)
 	kill_entry "$OWNER"
 }
 
-# Copies were sent to a holder that is stopped, and wait there unread.
+# Copies were sent, but the holder is stopped and has not read them.
 step_sent() {
 	echo "ask $(address_of "$OWNER") $HELD" >&3
 	HOLDER=$(holder_of)
@@ -173,7 +178,7 @@
 	kill -CONT "$(pid_of "$HOLDER")"
 }
 
-# Some of the tokens were copied to the holder.
+# The holder has some of the tokens.
 step_copied() {
 	one ask "$(address_of "$OWNER")" "$HELD"
 	HOLDER=$(holder_of)
@@ -181,14 +186,14 @@
 	kill_entry "$OWNER"
 }
 
-# The caller has the whole answer; that it ended was not copied.
+# The client has the complete answer; the holder does not know that it ended.
 step_whole() {
 	one ask "$(address_of "$OWNER")"
 	HOLDER=$(holder_of)
 	kill_entry "$OWNER"
 }
 
-# Until the owner has sent tokens to its holder.
+# Waits about 2 s until the owner has sent tokens to its holder.
 await_copy() {
 	local i
 	for i in $(seq 1 400); do
@@ -198,7 +203,7 @@
 	done
 }
 
-# ---- What happens to the run ----
+# ---- The engine's run: continues, or is killed too ----
 
 with_engine() {
 	:
@@ -210,7 +215,7 @@
 	[ -n "$engine" ] && kill -9 "$(pid_of "$engine")"
 }
 
-# ---- The caller's return ----
+# ---- How the client reconnects ----
 
 back_at_another() {
 	one ask "$(address_of "$(another "$OWNER" "$HOLDER")")"
@@ -220,20 +225,21 @@
 	one ask "$(address_of "$HOLDER")"
 }
 
-# After the members know that the owner is dead.
+# After the membership has marked the owner dead, the holder has taken over, and
+# the run has ended.
 back_late() {
 	await "$DIR/$HOLDER.log" "key=$REQUEST .*takeover" >/dev/null
 	await "$DIR/$HOLDER.log" "key=$REQUEST .*end outcome" >/dev/null
 	back_at_another
 }
 
-# With an event id of before: the caller lost what came after it.
+# With an earlier event id: the client has lost the tokens after it.
 back_with_old_id() {
 	one restore
 	back_at_another
 }
 
-# The entry that took over is killed as well, once a third has its copy.
+# The entry that took over is killed, too, once a third one holds the copy.
 back_after_second_kill() {
 	echo "ask $(address_of "$(another "$OWNER" "$HOLDER")")" >&3
 	await "$DIR/$HOLDER.log" "key=$REQUEST .*takeover" >/dev/null
@@ -243,7 +249,7 @@
 	back_anywhere
 }
 
-# Asks the entries that are left in turn, as callers do.
+# Tries the remaining entries in turn, as clients do.
 back_anywhere() {
 	local i tries
 	for tries in $(seq 1 10); do
@@ -256,7 +262,8 @@
 	done
 }
 
-# case_of STEP ENGINE BACK [OPTIONS...]: one request on the running cluster.
+# case_of STEP ENGINE BACK [OPTIONS...]: tests one request on the running
+# cluster.
 case_of() {
 	local step=$1 engine=$2 back=$3 name="$1 $2 $3"
 	shift 3
@@ -273,8 +280,9 @@
 	close_request
 }
 
-# Two of the three judges of the key are dead; the third took the request over.
-# An entry that was started since is asked for the rest.
+# Two of the three judges of the key are dead, and the third one took the
+# request over. The client requests the rest from an entry that was started
+# after that.
 one_judge_left() {
 	local third
 	ENTRIES=3 fresh 40 || return 1
@@ -296,7 +304,7 @@
 	close_request
 }
 
-# runs_of: how often plain services ran the request's call.
+# runs_of: prints how often plain services executed the request's call.
 runs_of() {
 	local a
 	for a in $PLAIN_ADDRESSES; do
@@ -304,7 +312,8 @@
 	done | grep -o "\"$NONCE\":[0-9]*" | awk -F: '{n += $2} END {print n + 0}'
 }
 
-# A call that may not be repeated; its owner is killed while it runs.
+# A call that may not be repeated, whose owner is killed while it runs: it runs
+# at most once, and the reported outcome is consistent with that.
 plain_calls() {
 	local back
 	for back in at_another at_holder late; do
@@ -317,13 +326,14 @@
 		"unknown "[01] | "done 1" | "not-run 0" | "again "[01]) RIGHT=true ;;
 		*) RIGHT=false ;;
 		esac
-		expect "plain call, back $back: at most once, and told so" $RIGHT
+		expect "plain call, back $back: at most once, outcome consistent" $RIGHT
 		$RIGHT || echo "plain call, back $back: $ANSWER, runs $(runs_of)"
 		close_request
 	done
 }
 
-# The steps that need copies to leave soon; the others need them not to.
+# Prints the copy interval of a step: some steps need copies to be sent soon,
+# the others need them not to be.
 copy_ms_of() {
 	case $1 in
 	copied | sent) echo 40 ;;
@@ -331,7 +341,7 @@
 	esac
 }
 
-# Tokens that the caller holds when the owner is killed.
+# Tokens that the client has when the owner is killed.
 HELD=3
 
 takeovers() {
@@ -339,7 +349,7 @@
 	for step in ${STEPS:-claim first sent copied whole}; do
 		for engine in ${ENGINES:-with without}; do
 			for back in ${BACKS:-at_another at_holder late with_old_id after_second_kill}; do
-				# One that holds nothing has no old event id.
+				# A client without tokens has no earlier event id.
 				[ "$step $back" = "claim with_old_id" ] && continue
 				fresh "$(copy_ms_of $step)" || exit 1
 				case_of $step $engine back_$back
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -1,4 +1,4 @@
-/* Answers as callers get them, over loopback, from feeds that are scripted. */
+/* The event streams that clients receive over loopback, from scripted feeds. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,8 +9,8 @@
 #include "net/sse.h"
 #include "support/unit.h"
 
-/* What the feed gives, one after the other. */
-struct said {
+/* A batch that the feed returns. */
+struct scripted_batch {
 	bool restart;
 	uint32_t gen, from, nr;
 	enum flow_outcome outcome;
@@ -18,15 +18,15 @@
 
 struct script {
 	struct ent_feed feed;
-	const struct said *said;
+	const struct scripted_batch *batches;
 	size_t nr, at;
 };
 
-static void next_said(struct ent_feed *f, uint32_t gen, uint32_t offset,
-		      struct ent_batch *out)
+static void next_scripted_batch(struct ent_feed *f, uint32_t gen,
+				uint32_t offset, struct ent_batch *out)
 {
 	struct script *s = (struct script *)f;
-	const struct said *now = &s->said[s->at++];
+	const struct scripted_batch *batch = &s->batches[s->at++];
 	uint32_t i;
 
 	(void)gen;
@@ -36,22 +36,24 @@
 		out->lost = true;
 		return;
 	}
-	out->restart = now->restart;
-	out->gen = now->gen;
-	out->from = now->from;
-	out->nr = now->nr;
-	out->tokens = mem_new((now->nr + 1) * sizeof(*out->tokens));
-	for (i = 0; i < now->nr; i++)
+	out->restart = batch->restart;
+	out->gen = batch->gen;
+	out->from = batch->from;
+	out->nr = batch->nr;
+	out->tokens = mem_new((batch->nr + 1) * sizeof(*out->tokens));
+	for (i = 0; i < batch->nr; i++)
 		out->tokens[i] = mem_dup("word");
-	out->outcome = now->outcome;
+	out->outcome = batch->outcome;
 	strcpy(out->model, "m");
 }
 
-static const struct ent_feed_vtable scripted = { next_said };
+static const struct ent_feed_vtable scripted_feed_vtable = {
+	next_scripted_batch
+};
 
 static struct entry *en;
 
-static void answer(struct hsv_request *rq, void *arg)
+static void serve_script(struct hsv_request *rq, void *arg)
 {
 	struct script *s = arg;
 	struct ent_writer w = {
@@ -59,18 +61,21 @@
 	};
 
 	s->at = 0;
-	s->feed = (struct ent_feed){ &scripted, en };
+	s->feed = (struct ent_feed){ &scripted_feed_vtable, en };
 	ent_parse_last_event(rq, &w);
 	ent_serve(&w, &s->feed);
 }
 
-/* What a caller gets who holds the answer up to `last_event`. */
-static void ask(const struct said *said, size_t nr, const char *last_event,
-		struct buf *out)
+/*
+ * Requests the answer with the header `last_event`, while the server reads it
+ * from `batches`. Appends the received body to `out`.
+ */
+static void request_answer(const struct scripted_batch *batches, size_t nr,
+			   const char *last_event, struct buf *out)
 {
-	struct script script = { .said = said, .nr = nr };
+	struct script script = { .batches = batches, .nr = nr };
 	const struct hsv_config cfg = { "127.0.0.1:0", 2, 1000 };
-	struct hsv *server = hsv_start(&cfg, answer, &script, NULL);
+	struct hsv *server = hsv_start(&cfg, serve_script, &script, NULL);
 	struct hcl *client = hcl_create();
 	HCL_REPLY_AUTO reply = HCL_REPLY_INIT;
 	struct hcl_request rq = {
@@ -90,7 +95,7 @@
 	hsv_stop(server);
 }
 
-static unsigned count(const struct buf *text, const char *what)
+static unsigned count_matches(const struct buf *text, const char *what)
 {
 	const char *p = buf_cstr(text);
 	unsigned n = 0;
@@ -102,88 +107,98 @@
 	return n;
 }
 
-static void tokens_that_follow_have_no_mark(void)
+static void continued_tokens_need_no_restart(void)
 {
-	static const struct said said[] = { { false, 7, 3, 2, FLOW_OPEN },
-					    { false, 7, 5, 0,
-					      FLOW_COMPLETED } };
+	static const struct scripted_batch batches[] = {
+		{ false, 7, 3, 2, FLOW_OPEN },
+		{ false, 7, 5, 0, FLOW_COMPLETED }
+	};
 	BUF_AUTO got = BUF_INIT;
 
-	ask(said, 2, "Last-Event-ID: 00000007.3", &got);
-	CU_ASSERT_EQUAL(count(&got, "event: restart"), 0);
-	CU_ASSERT_EQUAL(count(&got, "id: 00000007.4\n"), 1);
-	CU_ASSERT_EQUAL(count(&got, "[DONE]"), 1);
+	request_answer(batches, 2, "Last-Event-ID: 00000007.3", &got);
+	CU_ASSERT_EQUAL(count_matches(&got, "event: restart"), 0);
+	CU_ASSERT_EQUAL(count_matches(&got, "id: 00000007.4\n"), 1);
+	CU_ASSERT_EQUAL(count_matches(&got, "[DONE]"), 1);
 }
 
-/* A mark that waits for tokens of its own batch is never sent. */
-static void restart_is_told_when_its_first_token_comes_later(void)
+/*
+ * The batch that announces the restart has no tokens. A restart event that is
+ * sent only with tokens of the same batch would be lost.
+ */
+static void restart_is_sent_when_its_first_token_arrives_later(void)
 {
-	static const struct said said[] = { { true, 0, 0, 0, FLOW_OPEN },
-					    { false, 9, 0, 0, FLOW_OPEN },
-					    { false, 9, 0, 2, FLOW_OPEN },
-					    { false, 9, 2, 1, FLOW_OPEN },
-					    { false, 9, 3, 0,
-					      FLOW_COMPLETED } };
+	static const struct scripted_batch batches[] = {
+		{ true, 0, 0, 0, FLOW_OPEN },
+		{ false, 9, 0, 0, FLOW_OPEN },
+		{ false, 9, 0, 2, FLOW_OPEN },
+		{ false, 9, 2, 1, FLOW_OPEN },
+		{ false, 9, 3, 0, FLOW_COMPLETED }
+	};
 	BUF_AUTO got = BUF_INIT;
-	const char *mark, *first;
+	const char *restart, *first;
 
-	ask(said, 5, "Last-Event-ID: 00000007.3", &got);
-	mark = strstr(buf_cstr(&got), "event: restart");
+	request_answer(batches, 5, "Last-Event-ID: 00000007.3", &got);
+	restart = strstr(buf_cstr(&got), "event: restart");
 	first = strstr(buf_cstr(&got), "id: 00000009.1\n");
-	CU_ASSERT_EQUAL(count(&got, "event: restart"), 1);
-	CU_ASSERT(mark && first && mark < first);
-	CU_ASSERT_EQUAL(count(&got, "[DONE]"), 1);
+	CU_ASSERT_EQUAL(count_matches(&got, "event: restart"), 1);
+	CU_ASSERT(restart && first && restart < first);
+	CU_ASSERT_EQUAL(count_matches(&got, "[DONE]"), 1);
 }
 
-/* The new run ends without a token. */
-static void restart_is_told_before_an_empty_end(void)
+/* The new run ends without a token: the restart event must still be sent. */
+static void restart_is_sent_before_an_empty_end(void)
 {
-	static const struct said said[] = {
+	static const struct scripted_batch batches[] = {
 		{ true, 0, 0, 0, FLOW_OPEN }, { false, 9, 0, 0, FLOW_COMPLETED }
 	};
 	BUF_AUTO got = BUF_INIT;
 
-	ask(said, 2, "Last-Event-ID: 00000007.3", &got);
-	CU_ASSERT_EQUAL(count(&got, "event: restart"), 1);
-	CU_ASSERT_EQUAL(count(&got, "[DONE]"), 1);
+	request_answer(batches, 2, "Last-Event-ID: 00000007.3", &got);
+	CU_ASSERT_EQUAL(count_matches(&got, "event: restart"), 1);
+	CU_ASSERT_EQUAL(count_matches(&got, "[DONE]"), 1);
 }
 
-static bool keep_last(const struct sse_event *ev, void *arg)
+static bool read_until_restart(const struct sse_event *ev, void *arg)
 {
 	if (*ev->id)
 		str_copy(arg, ev->id, 32);
 	return strcmp(ev->name, "restart") != 0;
 }
 
-/* Callers that disconnect right after the mark ask for the rest of nothing. */
-static void restart_voids_the_last_event_id(void)
+/*
+ * A client that disconnects right after the restart event must not send the
+ * event id of a token that it has dropped.
+ */
+static void restart_resets_the_last_event_id(void)
 {
-	static const struct said said[] = { { true, 0, 0, 0, FLOW_OPEN },
-					    { false, 9, 0, 1, FLOW_OPEN },
-					    { false, 9, 1, 0,
-					      FLOW_COMPLETED } };
+	static const struct scripted_batch batches[] = {
+		{ true, 0, 0, 0, FLOW_OPEN },
+		{ false, 9, 0, 1, FLOW_OPEN },
+		{ false, 9, 1, 0, FLOW_COMPLETED }
+	};
 	char last_id[32] = "00000007.3";
 	BUF_AUTO got = BUF_INIT;
 	unsigned gen, offset = 99;
 	struct sse sse;
 
-	ask(said, 3, "Last-Event-ID: 00000007.3", &got);
+	request_answer(batches, 3, "Last-Event-ID: 00000007.3", &got);
 	sse_init(&sse);
-	CU_ASSERT_FALSE(
-		sse_feed(&sse, buf_cstr(&got), got.len, keep_last, last_id));
+	CU_ASSERT_FALSE(sse_feed(&sse, buf_cstr(&got), got.len,
+				 read_until_restart, last_id));
 	sse_free(&sse);
 	CU_ASSERT_EQUAL(sscanf(last_id, "%8x.%u", &gen, &offset), 2);
 	CU_ASSERT_EQUAL(offset, 0);
 }
 
 static const struct unit_test tests[] = {
-	{ "tokens that follow have no mark", tokens_that_follow_have_no_mark },
-	{ "a restart is told when its first token comes later",
-	  restart_is_told_when_its_first_token_comes_later },
-	{ "a restart is told before an empty end",
-	  restart_is_told_before_an_empty_end },
-	{ "a restart voids the last event id",
-	  restart_voids_the_last_event_id },
+	{ "continued tokens need no restart",
+	  continued_tokens_need_no_restart },
+	{ "a restart is sent when its first token arrives later",
+	  restart_is_sent_when_its_first_token_arrives_later },
+	{ "a restart is sent before an empty end",
+	  restart_is_sent_before_an_empty_end },
+	{ "a restart resets the last event id",
+	  restart_resets_the_last_event_id },
 };
 
 int main(void)
