--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -212,8 +212,9 @@
 /* ---- Draining ---- */
 
 /*
- * At the end of the drain: hands an open request over to its holder, which
- * takes it over. The client is told to reconnect, between two events.
+ * At the end of the drain: hands an open model request over to its holder, if
+ * it has one, which takes it over. The client is told to reconnect, between two
+ * events.
  */
 static void release_to_holder(struct ent_req *rq, void *arg)
 {
--- a/lib/entry/entry.h
+++ b/lib/entry/entry.h
@@ -41,10 +41,10 @@
 
 /*
  * Starts the drain and returns at once; later calls have no effect. The entry
- * announces at once that it leaves, but accepts new requests for
- * `entry_list_ms`, as long as clients may use a cached list of entries. Open
- * requests may finish until `drain_ms` after the start of the drain; those of
- * models that are still open then are handed over to their holders.
+ * announces at once that it leaves, but serves at least for `entry_list_ms`, as
+ * long as clients may use a cached list that has it. It then waits until no
+ * request is open, at most until `drain_ms` after the start. Model requests
+ * that are still open then are handed over to their holders.
  */
 void entry_drain(struct entry *en);
 
--- a/lib/entry/entry_internal.h
+++ b/lib/entry/entry_internal.h
@@ -515,7 +515,7 @@
  * request that is in the table; the caller keeps its reference to `rq` as well.
  */
 struct ent_req *ent_req_add(struct entry *en, struct ent_req *rq);
-/* Removes `rq` from the table, if it is there, with the table's reference. */
+/* Removes `rq` from the table, if it is there, and drops its reference. */
 void ent_req_remove(struct entry *en, struct ent_req *rq);
 /* Take and drop a reference; the last ent_req_put() frees. */
 void ent_req_get(struct ent_req *rq);
@@ -587,13 +587,14 @@
  * effect if it has ended or this entry is not its holder.
  */
 void ent_take_over(struct entry *en, struct ent_req *rq);
-/* Takes over all held requests whose owner is dead by the membership. */
+/* Takes over all held requests whose owner the membership has as dead. */
 void ent_take_over_from_dead(struct entry *en);
 /*
  * Answers a peer that serves a client of a request: the tokens after (gen,
  * from) and the outcome. `r` must be zeroed, and stays so if the key is unknown
  * here or belongs to another account. Takes the request over if the peer
- * reports its owner as lost.
+ * reports its owner as lost; a plain call only if the membership has the owner
+ * dead.
  */
 void ent_serve_fetch(struct entry *en, const peer_fetch_args *a,
 		     peer_fetch_reply *r);
@@ -681,8 +682,9 @@
 void ent_share_ask_now(struct entry *en, struct ent_account *a, bool empty);
 /*
  * Answers the share request of entry `who` as the keeper of `account`
- * ("service/account") in `view`: sets `*rate`, in tokens per second, as
- * share_keeper_request(). False if this entry is not the keeper there.
+ * ("service/account") in `view`: sets `*rate` as share_keeper_request() does.
+ * `demand`, `in_use` and the rate are in tokens per second. False if this entry
+ * is not the keeper there.
  */
 bool ent_share_serve(struct entry *en, const char *account, uint64_t view,
 		     uint64_t who, double demand, double in_use, double *rate);
