--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -1,12 +1,12 @@
 /*
- * Writing answers: streams of events, whole replies, and problems.
+ * Answers to clients: event streams, whole replies and problem documents.
  */
 #include "entry/ent_answer.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* ---- Replies that are not the whole result ---- */
+/* ---- Problem documents ---- */
 
 void ent_refuse(struct entry *en, struct hsv_request *rq, int status,
 		const char *run, int64_t retry_ms, const char *title,
@@ -25,8 +25,8 @@
 	hsv_problem(rq, status, extra, title, detail);
 }
 
-void ent_not_run(struct entry *en, struct hsv_request *rq, int status,
-		 const char *title, const char *detail)
+void ent_refuse_not_run(struct entry *en, struct hsv_request *rq, int status,
+			const char *title, const char *detail)
 {
 	ent_refuse(en, rq, status, "not-run", 0, title, detail);
 }
@@ -42,7 +42,7 @@
 					       : "");
 }
 
-static bool begin(struct ent_writer *w)
+static bool begin_stream(struct ent_writer *w)
 {
 	char extra[320];
 
@@ -88,7 +88,10 @@
 	buf_str(b, "}");
 }
 
-/* Event ids are GENERATION.OFFSET: what the caller holds after the event. */
+/*
+ * Event ids are GENERATION.OFFSET: the generation, and the number of tokens
+ * that the client has after the event.
+ */
 static bool write_tokens(struct ent_writer *w, const struct ent_batch *t)
 {
 	BUF_AUTO b = BUF_INIT;
@@ -148,16 +151,16 @@
 	hsv_reply(w->rq, 200, "application/json", extra, b.data, b.len);
 }
 
-/* An outcome other than whole, before any byte of an answer. */
+/* Replies with a problem document; no byte of an answer was sent. */
 static void write_failure(struct ent_writer *w, const struct ent_batch *t)
 {
-	const bool callers_fault = t->status >= 400 && t->status < 500;
+	const bool is_client_error = t->status >= 400 && t->status < 500;
 
 	if (t->stripped && t->outcome == FLOW_COMPLETED) {
 		ent_refuse(w->en, w->rq, 410, "ran", 0, "Answer not kept",
 			   "the request was answered, but too long ago for its "
 			   "answer to be sent again");
-	} else if (t->outcome == FLOW_NOT_RUN && callers_fault &&
+	} else if (t->outcome == FLOW_NOT_RUN && is_client_error &&
 		   t->status != 429) {
 		ent_refuse(w->en, w->rq, t->status, "not-run", 0,
 			   "Refused by the model engine",
@@ -182,8 +185,9 @@
 /* ---- Serving a feed ---- */
 
 /*
- * The id replaces that of the last token, with which a caller that is cut off
- * right now would ask for the rest of tokens it has dropped.
+ * Tells the client that its tokens are void. The event id replaces that of the
+ * last token: a client that disconnected now would otherwise request the rest
+ * of tokens that it has dropped.
  */
 static bool write_restart(struct ent_writer *w)
 {
@@ -196,12 +200,12 @@
 }
 
 /*
- * Begins the stream, with the mark that the answer starts anew if one is due.
- * It may be due before the new run has a token to send it with.
+ * Begins the stream if necessary, and sends the restart event if it is due. It
+ * may be due before the new run has a token.
  */
-static bool begin_or_restart(struct ent_writer *w)
+static bool begin_or_restart_stream(struct ent_writer *w)
 {
-	if (!begin(w))
+	if (!begin_stream(w))
 		return false;
 	if (!w->restart_due)
 		return true;
@@ -209,7 +213,7 @@
 	return write_restart(w);
 }
 
-/* One step; false when the reply is over. */
+/* Writes one batch; false after the end of the reply. */
 static bool serve_batch(struct ent_writer *w, struct ent_batch *t)
 {
 	uint32_t i;
@@ -219,7 +223,8 @@
 		w->offset = 0;
 		buf_reset(&w->text);
 	}
-	if (w->stream && t->nr && (!begin_or_restart(w) || !write_tokens(w, t)))
+	if (w->stream && t->nr &&
+	    (!begin_or_restart_stream(w) || !write_tokens(w, t)))
 		return false;
 	for (i = 0; i < t->nr && !w->stream; i++)
 		buf_str(&w->text, t->tokens[i]);
@@ -233,7 +238,7 @@
 	}
 	if (w->begun ||
 	    (w->stream && !t->plain && t->outcome == FLOW_COMPLETED)) {
-		if (begin_or_restart(w))
+		if (begin_or_restart_stream(w))
 			write_stream_end(w, t);
 	} else if (t->outcome == FLOW_COMPLETED) {
 		write_whole(w, t);
@@ -243,8 +248,11 @@
 	return false;
 }
 
-/* The source is gone. In mid-stream the caller is told to reconnect. */
-static void end_lost(struct ent_writer *w, bool handed_on)
+/*
+ * Ends the reply after the loss of its source: a client of a stream that has
+ * begun is told to reconnect, others to retry.
+ */
+static void end_interrupted(struct ent_writer *w, bool handed_on)
 {
 	if (w->begun) {
 		write_event(w, "reconnect", "{}");
@@ -271,11 +279,12 @@
 		go = !lost && serve_batch(w, &t);
 		ent_free_batch(&t);
 		if (lost)
-			end_lost(w, f->vt == &ent_local_vt);
+			end_interrupted(w, f->vt == &ent_local_feed_vtable);
 		if (!go)
 			break;
-		if (atomic_load(&w->en->releasing) && f->vt == &ent_remote_vt) {
-			end_lost(w, true);
+		if (atomic_load(&w->en->releasing) &&
+		    f->vt == &ent_remote_feed_vtable) {
+			end_interrupted(w, true);
 			break;
 		}
 	}
@@ -295,7 +304,7 @@
 
 void ent_serve_local(struct ent_writer *w, struct ent_req *rq)
 {
-	struct ent_local_feed f = { { &ent_local_vt, w->en }, rq };
+	struct ent_local_feed f = { { &ent_local_feed_vtable, w->en }, rq };
 
 	ent_serve(w, &f.feed);
 }
@@ -303,7 +312,7 @@
 void ent_serve_remote(struct ent_writer *w, const struct ent_req *rq,
 		      uint64_t winner)
 {
-	struct ent_remote_feed f = { .feed = { &ent_remote_vt, w->en },
+	struct ent_remote_feed f = { .feed = { &ent_remote_feed_vtable, w->en },
 				     .view = rq->slot_view,
 				     .slot = rq->slot,
 				     .winner = winner };
--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -1,6 +1,7 @@
 /*
- * Claims: asking a key's judges, and answering as one. The rules are those
- * of lib/claim; here they meet the network.
+ * Claims: requests votes of a key's judges and votes as a judge. The protocol
+ * is in lib/claim; this file does the I/O. Also the choice of holders, grants,
+ * and the transfer of votes at a drain.
  */
 #include "entry/entry_internal.h"
 
@@ -12,20 +13,20 @@
 #include "base/hsh.h"
 
 /*
- * A judge answers in a round trip; a second of waiting would already miss
- * the first token, so what has not come by then counts as lost.
+ * Time-out of calls to a judge. A judge answers within a round trip; waiting
+ * for a second would already miss the target for the first token.
  */
-#define ASK_MS 300
+#define JUDGE_TIMEOUT_MS 300
 
-/* Views that are tried for a slot with live judges. */
-#define GRANT_TRIES 64
+/* Random slots tried for one whose judges are all alive. */
+#define MAX_GRANT_TRIES 64
 
-#define HAND_ON_MS 1000
+#define VOTE_TRANSFER_TIMEOUT_MS 1000
 
-/* ---- Answering ---- */
+/* ---- Voting as a judge ---- */
 
-struct judge_reply ent_judge_ask(struct entry *en,
-				 const struct judge_request *ask)
+struct judge_reply ent_judge_decide(struct entry *en,
+				    const struct judge_request *ask)
 {
 	struct judge_reply r;
 
@@ -39,14 +40,15 @@
 	return r;
 }
 
-/* ---- Asking ---- */
+/* ---- Requesting votes ---- */
 
-struct target {
-	struct view_member who;
-	bool alive;
-	bool other_zone;
+struct judge_target {
+	struct view_member member;
+	bool alive;	 /* by the membership, and not suspect */
+	bool other_zone; /* not in the zone of this entry */
 };
 
+/* The vote on one claim. Shared with the callbacks of its calls. */
 struct ballot {
 	struct entry *en;
 	struct ent_req *rq;
@@ -54,24 +56,25 @@
 	pthread_cond_t changed;
 	int refs;
 	struct claim claim;
-	struct target judge[VIEW_JUDGES];
-	struct target reserve;
+	struct judge_target judge[VIEW_JUDGES];
+	struct judge_target reserve;
 	bool has_reserve;
 	unsigned nr;
-	bool pending[VIEW_JUDGES];
-	bool held;
-	unsigned held_place;
+	bool pending[VIEW_JUDGES]; /* a reply is outstanding */
+	bool held;		   /* a judge accepted the copy */
+	unsigned held_place;	   /* its index */
 	char held_by[SET_ADDR_MAX];
 };
 
-struct ask {
+/* A call to a judge, or to the reserve in its place. */
+struct vote_request {
 	struct ballot *b;
-	unsigned place;
-	bool with_record;
-	bool at_reserve;
+	unsigned place;	  /* index of the judge */
+	bool with_record; /* asks the judge to hold the copy, too */
+	bool to_reserve;
 };
 
-static void put_ballot(struct ballot *b)
+static void ballot_put(struct ballot *b)
 {
 	int left;
 
@@ -87,16 +90,16 @@
 }
 
 static void fill_target(struct entry *en, const struct ent_snap *s,
-			const struct view_member *m, struct target *t)
+			const struct view_member *m, struct judge_target *t)
 {
 	const struct ent_member *known = ent_snap_member(s, m->id);
 
-	t->who = *m;
+	t->member = *m;
 	t->alive = known && known->state != SWIM_SUSPECT;
 	t->other_zone = strcmp(m->zone, en->self.zone) != 0;
 }
 
-/* The judges of the request's slot; false if its view is not known. */
+/* Fills in the judges of the request's slot; false if its view is unknown. */
 static bool find_judges(struct entry *en, const struct ent_req *rq,
 			struct ballot *b)
 {
@@ -123,11 +126,12 @@
 	return v && b->nr;
 }
 
-static void send_ask(struct ballot *b, unsigned place, bool with_record,
-		     bool at_reserve);
+static void send_vote_request(struct ballot *b, unsigned place,
+			      bool with_record, bool to_reserve);
 
-static void settle(struct ballot *b, unsigned place,
-		   const struct judge_reply *reply)
+/* Records the reply of a judge; NULL: none. Called with the lock held. */
+static void record_reply(struct ballot *b, unsigned place,
+			 const struct judge_reply *reply)
 {
 	if (reply)
 		claim_answer(&b->claim, place, reply);
@@ -137,12 +141,12 @@
 	pthread_cond_broadcast(&b->changed);
 }
 
-static void on_answer(enum err_code why, const void *result, void *arg)
+static void on_vote_reply(enum err_code why, const void *result, void *arg)
 {
 	const peer_claim_reply *r = result;
-	struct ask *a = arg;
+	struct vote_request *a = arg;
 	struct ballot *b = a->b;
-	bool ask_reserve = false;
+	bool try_reserve = false;
 	struct judge_reply reply;
 
 	pthread_mutex_lock(&b->lock);
@@ -156,43 +160,44 @@
 			b->held = true;
 			b->held_place = a->place;
 			str_copy(b->held_by,
-				 a->at_reserve ? b->reserve.who.peer
-					       : b->judge[a->place].who.peer,
+				 a->to_reserve ? b->reserve.member.peer
+					       : b->judge[a->place].member.peer,
 				 sizeof(b->held_by));
 		}
 	}
 	/*
-	 * A judge that is gone may have handed its votes to the reserve. One
-	 * that merely did not answer may still vote, so a reserve that has
-	 * not adopted refuses, and nothing is counted twice.
+	 * A judge that has left may have transferred its votes to the reserve.
+	 * If it merely did not reply, it may still vote; the reserve then has
+	 * not adopted its votes and refuses, so no vote is counted twice.
 	 */
-	if (!a->at_reserve && b->has_reserve &&
+	if (!a->to_reserve && b->has_reserve &&
 	    (why != ERR_NONE ||
 	     (reply.verdict == JUDGE_REFUSED && reply.reason != JUDGE_EXPIRED)))
-		ask_reserve = true;
-	if (!ask_reserve)
-		settle(b, a->place, why == ERR_NONE ? &reply : NULL);
+		try_reserve = true;
+	if (!try_reserve)
+		record_reply(b, a->place, why == ERR_NONE ? &reply : NULL);
 	pthread_mutex_unlock(&b->lock);
-	if (ask_reserve)
-		send_ask(b, a->place, a->with_record, true);
-	put_ballot(b);
+	if (try_reserve)
+		send_vote_request(b, a->place, a->with_record, true);
+	ballot_put(b);
 	free(a);
 }
 
-static void ask_self(struct ballot *b, unsigned place,
-		     const struct judge_request *ask)
+static void vote_locally(struct ballot *b, unsigned place,
+			 const struct judge_request *ask)
 {
-	const struct judge_reply r = ent_judge_ask(b->en, ask);
+	const struct judge_reply r = ent_judge_decide(b->en, ask);
 
 	pthread_mutex_lock(&b->lock);
-	settle(b, place, &r);
+	record_reply(b, place, &r);
 	pthread_mutex_unlock(&b->lock);
 }
 
-static void send_ask(struct ballot *b, unsigned place, bool with_record,
-		     bool at_reserve)
+static void send_vote_request(struct ballot *b, unsigned place,
+			      bool with_record, bool to_reserve)
 {
-	const struct target *t = at_reserve ? &b->reserve : &b->judge[place];
+	const struct judge_target *t = to_reserve ? &b->reserve
+						  : &b->judge[place];
 	struct entry *en = b->en;
 	struct judge_request local = {
 		.view = b->rq->slot_view,
@@ -203,11 +208,11 @@
 	};
 	peer_claim_args *args;
 	struct link_call c;
-	struct ask *a;
+	struct vote_request *a;
 
 	str_copy(local.key, b->rq->key, sizeof(local.key));
-	if (t->who.id == en->self.id) {
-		ask_self(b, place, &local);
+	if (t->member.id == en->self.id) {
+		vote_locally(b, place, &local);
 		return;
 	}
 	args = mem_new(sizeof(*args));
@@ -226,11 +231,12 @@
 	a->b = b;
 	a->place = place;
 	a->with_record = with_record;
-	a->at_reserve = at_reserve;
-	c = ent_call(t->who.peer, PEER_CLAIM, (xdrproc_t)xdr_peer_claim_args,
-		     args, (xdrproc_t)xdr_peer_claim_reply,
-		     sizeof(peer_claim_reply), ASK_MS);
-	c.done = on_answer;
+	a->to_reserve = to_reserve;
+	c = ent_prepare_call(t->member.peer, PEER_CLAIM,
+			     (xdrproc_t)xdr_peer_claim_args, args,
+			     (xdrproc_t)xdr_peer_claim_reply,
+			     sizeof(peer_claim_reply), JUDGE_TIMEOUT_MS);
+	c.done = on_vote_reply;
 	c.arg = a;
 	pthread_mutex_lock(&b->lock);
 	b->refs++;
@@ -239,24 +245,25 @@
 		return;
 	pthread_mutex_lock(&b->lock);
 	b->refs--;
-	settle(b, place, NULL);
+	record_reply(b, place, NULL);
 	pthread_mutex_unlock(&b->lock);
 	free(a);
 }
 
 /*
- * The judge that gets the record: alive, another instance, and in another
- * availability zone if one can be had. `skip`: places tried already.
+ * Chooses the judge that is to hold the copy: alive, not this entry, and in
+ * another availability zone if possible. Returns its index, or -1. `excluded`:
+ * bit mask of indexes.
  */
 static int choose_holder(struct entry *en, const struct ballot *b,
-			 unsigned skip)
+			 unsigned excluded)
 {
 	int best = -1;
 	unsigned i;
 
 	for (i = 0; i < b->nr; i++) {
-		if ((skip >> i) & 1 || !b->judge[i].alive ||
-		    b->judge[i].who.id == en->self.id)
+		if ((excluded >> i) & 1 || !b->judge[i].alive ||
+		    b->judge[i].member.id == en->self.id)
 			continue;
 		if (best < 0 ||
 		    (b->judge[i].other_zone && !b->judge[best].other_zone))
@@ -277,12 +284,13 @@
 }
 
 /*
- * Waits until the outcome stands and the copy is held, or nothing more can
- * come. Called with the lock held.
+ * Waits until the outcome is final and, if `need_held`, the copy of a won claim
+ * is held; or until no reply is outstanding, or a time-out. Called with the
+ * lock held.
  */
-static void await(struct ballot *b, bool need_held)
+static void wait_for_outcome(struct ballot *b, bool need_held)
 {
-	const struct timespec until = clk_deadline(2 * ASK_MS + 100);
+	const struct timespec until = clk_deadline(2 * JUDGE_TIMEOUT_MS + 100);
 
 	for (;;) {
 		const enum claim_outcome o = claim_outcome(&b->claim);
@@ -298,7 +306,7 @@
 	}
 }
 
-static struct ballot *new_ballot(struct entry *en, struct ent_req *rq)
+static struct ballot *ballot_new(struct entry *en, struct ent_req *rq)
 {
 	struct ballot *b = mem_new(sizeof(*b));
 	pthread_condattr_t attr;
@@ -329,7 +337,7 @@
 	met_inc(rows[o]);
 }
 
-/* Asks one more judge to hold the copy, after the first would not. */
+/* Asks one more judge to hold the copy, after the first one did not accept. */
 static void try_other_holder(struct entry *en, struct ballot *b, unsigned tried)
 {
 	const int other = choose_holder(en, b, tried);
@@ -339,22 +347,22 @@
 	pthread_mutex_lock(&b->lock);
 	b->pending[other] = true;
 	pthread_mutex_unlock(&b->lock);
-	send_ask(b, (unsigned)other, true, false);
+	send_vote_request(b, (unsigned)other, true, false);
 	pthread_mutex_lock(&b->lock);
-	await(b, true);
+	wait_for_outcome(b, true);
 	pthread_mutex_unlock(&b->lock);
 }
 
 struct ent_claim_result ent_claim(struct entry *en, struct ent_req *rq)
 {
 	struct ent_claim_result r = { .outcome = CLAIM_UNKNOWN };
-	struct ballot *b = new_ballot(en, rq);
+	struct ballot *b = ballot_new(en, rq);
 	int holder;
 	unsigned i;
 
 	if (!find_judges(en, rq, b)) {
 		count_outcome(en, r.outcome);
-		put_ballot(b);
+		ballot_put(b);
 		return r;
 	}
 	claim_start(&b->claim, en->self.id, b->nr);
@@ -362,9 +370,9 @@
 	for (i = 0; i < b->nr; i++)
 		b->pending[i] = true;
 	for (i = 0; i < b->nr; i++)
-		send_ask(b, i, (int)i == holder, false);
+		send_vote_request(b, i, (int)i == holder, false);
 	pthread_mutex_lock(&b->lock);
-	await(b, holder >= 0);
+	wait_for_outcome(b, holder >= 0);
 	r.outcome = claim_outcome(&b->claim);
 	r.winner = claim_winner(&b->claim);
 	pthread_mutex_unlock(&b->lock);
@@ -379,26 +387,26 @@
 	}
 	pthread_mutex_unlock(&b->lock);
 	count_outcome(en, r.outcome);
-	put_ballot(b);
+	ballot_put(b);
 	return r;
 }
 
-/* ---- Another holder, later ---- */
+/* ---- Replacing the holder ---- */
 
-/* A request that found no holder asks again after this. */
+/* Interval of searches for a holder of the same request. */
 #define REHOME_RETRY_MS 500
 
-struct rehoming {
+struct rehome_call {
 	struct entry *en;
 	struct ent_req *rq;
 	unsigned place;
 	char address[SET_ADDR_MAX];
 };
 
-static void on_rehomed(enum err_code why, const void *result, void *arg)
+static void on_rehome_reply(enum err_code why, const void *result, void *arg)
 {
 	const bool_t *held = result;
-	struct rehoming *h = arg;
+	struct rehome_call *h = arg;
 	const bool ok = why == ERR_NONE && *held;
 
 	pthread_mutex_lock(&h->rq->lock);
@@ -408,8 +416,8 @@
 		str_copy(h->rq->holder, h->address, sizeof(h->rq->holder));
 		h->rq->holder_place = h->place;
 		h->rq->tried_places = 0;
-		h->rq->copied = 0;
-		ent_copy_soon(h->rq);
+		h->rq->copied_tokens = 0;
+		ent_queue_copy(h->rq);
 	} else {
 		h->rq->tried_places |= 1u << h->place;
 	}
@@ -420,48 +428,52 @@
 	free(h);
 }
 
-/* The places of the judges that cannot hold the copy now. Lock held. */
-static unsigned useless_places(const struct ent_req *rq, const struct ballot *b)
+/*
+ * Returns the bit mask of judges that cannot hold the copy now. The request's
+ * lock is held.
+ */
+static unsigned excluded_places(const struct ent_req *rq,
+				const struct ballot *b)
 {
 	unsigned places = rq->tried_places, i;
 
 	if (*rq->holder)
 		places |= 1u << rq->holder_place;
-	/* It may be dead for a while before membership says so. */
+	/* The previous owner may have crashed and not be marked dead yet. */
 	for (i = 0; i < b->nr; i++) {
-		if (b->judge[i].who.id == rq->former_owner)
+		if (b->judge[i].member.id == rq->previous_owner)
 			places |= 1u << i;
 	}
 	return places;
 }
 
-/* The judge that is to hold the copy; false if there is none. */
+/* Chooses the next judge to hold the copy; false if there is none. */
 static bool next_holder(struct entry *en, struct ent_req *rq,
-			struct rehoming *h)
+			struct rehome_call *h)
 {
-	struct ballot *b = new_ballot(en, rq);
+	struct ballot *b = ballot_new(en, rq);
 	int place = -1;
 
 	if (find_judges(en, rq, b)) {
 		pthread_mutex_lock(&rq->lock);
-		place = choose_holder(en, b, useless_places(rq, b));
+		place = choose_holder(en, b, excluded_places(rq, b));
 		if (place < 0)
 			rq->tried_places = 0;
-		rq->rehome_ms = ent_now(en) + REHOME_RETRY_MS;
+		rq->next_rehome_ms = ent_now(en) + REHOME_RETRY_MS;
 		pthread_mutex_unlock(&rq->lock);
 	}
 	if (place >= 0) {
 		h->place = (unsigned)place;
-		str_copy(h->address, b->judge[place].who.peer,
+		str_copy(h->address, b->judge[place].member.peer,
 			 sizeof(h->address));
 	}
-	put_ballot(b);
+	ballot_put(b);
 	return place >= 0;
 }
 
 void ent_rehome(struct entry *en, struct ent_req *rq)
 {
-	struct rehoming *h = mem_new(sizeof(*h));
+	struct rehome_call *h = mem_new(sizeof(*h));
 	peer_hold_args *args;
 	struct link_call c;
 
@@ -479,9 +491,11 @@
 	args->birth_ms = rq->birth_ms;
 	ent_fill_record(rq, &args->record);
 	ent_req_get(rq);
-	c = ent_call(h->address, PEER_HOLD, (xdrproc_t)xdr_peer_hold_args, args,
-		     (xdrproc_t)xdr_bool, sizeof(bool_t), ASK_MS);
-	c.done = on_rehomed;
+	c = ent_prepare_call(h->address, PEER_HOLD,
+			     (xdrproc_t)xdr_peer_hold_args, args,
+			     (xdrproc_t)xdr_bool, sizeof(bool_t),
+			     JUDGE_TIMEOUT_MS);
+	c.done = on_rehome_reply;
 	c.arg = h;
 	if (!links_send(en->links, &c)) {
 		ent_req_put(rq);
@@ -489,11 +503,11 @@
 	}
 }
 
-/* ---- Finding what others know of a key ---- */
+/* ---- Finding the owner of a key ---- */
 
-size_t ent_locate(struct entry *en, uint64_t view, unsigned slot,
-		  uint64_t winner, char out[5][SET_ADDR_MAX],
-		  bool *winner_first)
+size_t ent_key_addresses(struct entry *en, uint64_t view, unsigned slot,
+			 uint64_t winner, char out[5][SET_ADDR_MAX],
+			 bool *winner_first)
 {
 	const struct ent_member *w;
 	const struct ent_snap *s;
@@ -507,7 +521,7 @@
 	w = ent_snap_member(s, winner);
 	*winner_first = w && winner != en->self.id;
 	if (*winner_first)
-		str_copy(out[n++], w->who.peer, SET_ADDR_MAX);
+		str_copy(out[n++], w->info.peer, SET_ADDR_MAX);
 	for (i = 0; v && i < v->slots[slot].nr_judges; i++) {
 		const struct view_member *m =
 			&v->members[v->slots[slot].judge[i]];
@@ -543,9 +557,9 @@
 }
 
 /*
- * During an outage of the key-value service a view cannot change, so some of
- * its judges may be dead for long. Choosing the slot here keeps fresh keys
- * away from them.
+ * During an outage of the key-value service the view cannot change, so some of
+ * its judges may stay dead for long. The choice of the slot avoids them for new
+ * keys.
  */
 bool ent_new_grant(struct entry *en, struct grant *g)
 {
@@ -557,7 +571,7 @@
 	pub_read_lock();
 	s = ent_snap(en);
 	v = ent_snap_current(s);
-	for (tries = 0; v && tries < GRANT_TRIES; tries++) {
+	for (tries = 0; v && tries < MAX_GRANT_TRIES; tries++) {
 		char nonce[9];
 		const struct view_slot *slot;
 		unsigned live;
@@ -581,7 +595,7 @@
 	return found;
 }
 
-/* ---- Leaving ---- */
+/* ---- Transferring votes at a drain ---- */
 
 static void fill_votes(peer_adopt_args *a, const struct judge_vote *v, size_t n)
 {
@@ -598,9 +612,12 @@
 	}
 }
 
-/* One reserve's part; the same votes again if no answer came. */
-static bool hand_on_to(struct entry *en, const struct view *v,
-		       const struct view_member *reserve)
+/*
+ * Transfers the votes of a view to one of its reserves. False if no reply came;
+ * a retry sends the same votes.
+ */
+static bool transfer_votes_to(struct entry *en, const struct view *v,
+			      const struct view_member *reserve)
 {
 	peer_adopt_args *a = mem_new(sizeof(*a));
 	MEM_AUTO struct judge_vote *votes = NULL;
@@ -615,8 +632,10 @@
 	ent_fill_head(en, &a->head);
 	a->view = v->number;
 	fill_votes(a, votes, n);
-	c = ent_call(reserve->peer, PEER_ADOPT, (xdrproc_t)xdr_peer_adopt_args,
-		     a, (xdrproc_t)xdr_bool, sizeof(bool_t), HAND_ON_MS);
+	c = ent_prepare_call(reserve->peer, PEER_ADOPT,
+			     (xdrproc_t)xdr_peer_adopt_args, a,
+			     (xdrproc_t)xdr_bool, sizeof(bool_t),
+			     VOTE_TRANSFER_TIMEOUT_MS);
 	if (links_call(en->links, &c, &ok, &e))
 		return false;
 	log_line(LOG_LEVEL_INFO, "claim",
@@ -642,8 +661,11 @@
 	}
 }
 
-/* A copy of the members: no lock may be held over the calls. */
-static size_t recent_views(struct entry *en, struct view *out[ENT_MAX_VIEWS])
+/*
+ * Copies the views that have this entry as a member, since no lock may be held
+ * during the calls. Returns their number.
+ */
+static size_t copy_own_views(struct entry *en, struct view *out[ENT_MAX_VIEWS])
 {
 	const struct ent_snap *s;
 	size_t n = 0, i;
@@ -660,7 +682,7 @@
 	return n;
 }
 
-void ent_hand_on_votes(struct entry *en)
+void ent_transfer_votes(struct entry *en)
 {
 	struct view *views[ENT_MAX_VIEWS];
 	size_t n, i, m;
@@ -669,15 +691,15 @@
 	pthread_mutex_lock(&en->judge_lock);
 	judge_stop(en->judge);
 	pthread_mutex_unlock(&en->judge_lock);
-	n = recent_views(en, views);
+	n = copy_own_views(en, views);
 	for (i = 0; i < n; i++) {
 		bool marked[VIEW_MAX_MEMBERS] = { false };
 
 		mark_reserves(views[i], en->self.id, marked);
 		for (m = 0; m < views[i]->nr; m++) {
 			for (tries = 0; marked[m] && tries < 3; tries++) {
-				if (hand_on_to(en, views[i],
-					       &views[i]->members[m]))
+				if (transfer_votes_to(en, views[i],
+						      &views[i]->members[m]))
 					break;
 			}
 		}
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -1,10 +1,10 @@
 /*
- * Copies: the record of each request and its tokens, at one more entry, in
- * another availability zone where there is one.
+ * Replication of requests: a second entry, in another availability zone if
+ * there is one, holds a copy of each request's record and tokens.
  *
- * The owner sends what is new in batches, per holder, every copy_ms. If the
- * owner is lost, the holder becomes the owner: it reads the engine's run
- * again, or continues from the prompt and the tokens it has.
+ * The owner sends changes to each holder in batches, every copy_ms. If the
+ * owner is lost, the holder takes over: it resumes reading the engine's run, or
+ * continues from the prompt and the tokens that it has.
  */
 #include "entry/entry_internal.h"
 
@@ -15,10 +15,10 @@
 #include "base/hsh.h"
 #include "base/jsn.h"
 
-#define UPDATE_MS 1000
+#define UPDATE_TIMEOUT_MS 1000
 
-/* Requests in one batch to one holder; bounds a message to some 100 KB. */
-#define BATCH_MAX 256
+/* Requests per batch to a holder; limits a message to about 100 KB. */
+#define MAX_BATCH_REQUESTS 256
 
 /* ---- The record ---- */
 
@@ -45,8 +45,8 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-/* The same record again is the same copy. */
-static bool is_copy_for(struct ent_req *rq, uint64_t owner)
+/* A record that is received again from the same owner is not a conflict. */
+static bool is_owned_by(struct ent_req *rq, uint64_t owner)
 {
 	bool same;
 
@@ -56,11 +56,11 @@
 	return same;
 }
 
-bool ent_take_record(struct entry *en, const peer_record *r, uint64_t view,
-		     unsigned slot, int64_t birth_ms)
+bool ent_store_record(struct entry *en, const peer_record *r, uint64_t view,
+		      unsigned slot, int64_t birth_ms)
 {
-	struct ent_req *rq, *there;
-	bool taken;
+	struct ent_req *rq, *found;
+	bool accepted;
 
 	if (!*r->key || strlen(r->key) >= GRANT_KEY_MAX)
 		return false;
@@ -85,23 +85,23 @@
 	rq->flow.attempt = r->attempt;
 	rq->body = mem_new(r->body.body_len + 1);
 	memcpy(rq->body, r->body.body_val, r->body.body_len);
-	there = ent_req_add(en, rq);
-	taken = there == rq || is_copy_for(there, r->owner);
-	ent_req_put(there);
+	found = ent_req_add(en, rq);
+	accepted = found == rq || is_owned_by(found, r->owner);
+	ent_req_put(found);
 	ent_req_put(rq);
-	if (taken)
+	if (accepted)
 		met_inc(en->m.copies);
-	return taken;
+	return accepted;
 }
 
-bool ent_hold(struct entry *en, const peer_hold_args *a)
+bool ent_become_holder(struct entry *en, const peer_hold_args *a)
 {
 	struct ent_req *rq = ent_req_find(en, a->record.key);
 	bool held;
 
 	if (!rq)
-		return ent_take_record(en, &a->record, a->view, a->slot,
-				       a->birth_ms);
+		return ent_store_record(en, &a->record, a->view, a->slot,
+					a->birth_ms);
 	pthread_mutex_lock(&rq->lock);
 	held = rq->role == ENT_HOLDER && rq->flow.phase != FLOW_DONE &&
 	       !strcmp(rq->account, a->record.account);
@@ -117,16 +117,16 @@
 
 /* ---- Sending ---- */
 
-void ent_copy_soon(struct ent_req *rq)
+void ent_queue_copy(struct ent_req *rq)
 {
-	if (rq->role != ENT_OWNER || rq->in_copier)
+	if (rq->role != ENT_OWNER || rq->in_copy_queue)
 		return;
 	ent_req_get(rq);
 	if (ring_push(rq->en->copies, rq)) {
-		rq->in_copier = true;
+		rq->in_copy_queue = true;
 		return;
 	}
-	/* Full: the next token or the end asks again. */
+	/* The ring is full: the next token or the end queues it again. */
 	ent_req_put(rq);
 	met_inc(rq->en->m.copy_failed);
 }
@@ -147,7 +147,7 @@
 static void fill_update(struct ent_req *rq, peer_update *u)
 {
 	const struct flow *f = &rq->flow;
-	uint32_t from = rq->copied;
+	uint32_t from = rq->copied_tokens;
 
 	if (from > f->tokens)
 		from = f->tokens;
@@ -168,13 +168,14 @@
 		memcpy(u->result.result_val, rq->result, rq->result_len);
 		u->result.result_len = (u_int)rq->result_len;
 	}
-	rq->copied = f->tokens;
+	rq->copied_tokens = f->tokens;
 }
 
+/* Updates to one holder. */
 struct batch {
 	struct entry *en;
 	size_t nr;
-	struct ent_req *rq[BATCH_MAX];
+	struct ent_req *rq[MAX_BATCH_REQUESTS];
 	char holder[SET_ADDR_MAX];
 	peer_update_args *args;
 };
@@ -192,13 +193,13 @@
 		pthread_mutex_lock(&rq->lock);
 		if (why != ERR_NONE) {
 			met_inc(b->en->m.copy_failed);
-			rq->copied = 0;
+			rq->copied_tokens = 0;
 			rehome = !strcmp(rq->holder, b->holder);
 		} else if (!*all) {
-			/* It has not all that came before: from the start. */
-			rq->copied = 0;
+			/* A copy lacks earlier tokens: send all. */
+			rq->copied_tokens = 0;
 		} else if (rq->flow.phase == FLOW_DONE) {
-			rq->final_copied = true;
+			rq->end_copied = true;
 		}
 		pthread_mutex_unlock(&rq->lock);
 		if (rehome)
@@ -210,10 +211,11 @@
 
 static void send_batch(struct batch *b)
 {
-	struct link_call c = ent_call(b->holder, PEER_UPDATE,
-				      (xdrproc_t)xdr_peer_update_args, b->args,
-				      (xdrproc_t)xdr_bool, sizeof(bool_t),
-				      UPDATE_MS);
+	struct link_call c = ent_prepare_call(b->holder, PEER_UPDATE,
+					      (xdrproc_t)xdr_peer_update_args,
+					      b->args, (xdrproc_t)xdr_bool,
+					      sizeof(bool_t),
+					      UPDATE_TIMEOUT_MS);
 	size_t i;
 
 	c.done = on_copied;
@@ -222,13 +224,17 @@
 		return;
 	for (i = 0; i < b->nr; i++) {
 		pthread_mutex_lock(&b->rq[i]->lock);
-		b->rq[i]->copied = 0;
+		b->rq[i]->copied_tokens = 0;
 		pthread_mutex_unlock(&b->rq[i]->lock);
 		ent_req_put(b->rq[i]);
 	}
 	free(b);
 }
 
+/*
+ * Returns a batch for the holder that is not full, new or from `open`; NULL if
+ * there are `max` batches already.
+ */
 static struct batch *batch_for(struct entry *en, struct batch **open,
 			       size_t *nr, size_t max, const char *holder)
 {
@@ -236,7 +242,8 @@
 	size_t i;
 
 	for (i = 0; i < *nr; i++) {
-		if (!strcmp(open[i]->holder, holder) && open[i]->nr < BATCH_MAX)
+		if (!strcmp(open[i]->holder, holder) &&
+		    open[i]->nr < MAX_BATCH_REQUESTS)
 			return open[i];
 	}
 	if (*nr == max)
@@ -246,14 +253,15 @@
 	str_copy(b->holder, holder, sizeof(b->holder));
 	b->args = mem_new(sizeof(*b->args));
 	ent_fill_head(en, &b->args->head);
-	b->args->updates.updates_val = mem_new(BATCH_MAX * sizeof(peer_update));
+	b->args->updates.updates_val =
+		mem_new(MAX_BATCH_REQUESTS * sizeof(peer_update));
 	open[(*nr)++] = b;
 	return b;
 }
 
-#define MAX_OPEN 64
+#define MAX_BATCHES 64 /* per round */
 
-/* True if the request has no holder; asks for one unless it just did. */
+/* True if the request has no holder; searches for one if it is due. */
 static bool lacks_holder(struct entry *en, struct ent_req *rq)
 {
 	const int64_t now = ent_now(en);
@@ -261,22 +269,22 @@
 
 	pthread_mutex_lock(&rq->lock);
 	lacks = !*rq->holder;
-	due = lacks && now >= rq->rehome_ms;
+	due = lacks && now >= rq->next_rehome_ms;
 	if (lacks)
-		rq->in_copier = false;
+		rq->in_copy_queue = false;
 	pthread_mutex_unlock(&rq->lock);
 	if (due)
 		ent_rehome(en, rq);
 	return lacks;
 }
 
-static void copy_round(struct entry *en)
+static void send_copies(struct entry *en)
 {
-	struct batch *open[MAX_OPEN];
+	struct batch *open[MAX_BATCHES];
 	size_t nr = 0, i;
 	struct ent_req *rq;
 
-	while (nr < MAX_OPEN && (rq = ring_pop(en->copies, 0))) {
+	while (nr < MAX_BATCHES && (rq = ring_pop(en->copies, 0))) {
 		struct batch *b;
 
 		if (lacks_holder(en, rq)) {
@@ -284,8 +292,8 @@
 			continue;
 		}
 		pthread_mutex_lock(&rq->lock);
-		rq->in_copier = false;
-		b = batch_for(en, open, &nr, MAX_OPEN, rq->holder);
+		rq->in_copy_queue = false;
+		b = batch_for(en, open, &nr, MAX_BATCHES, rq->holder);
 		if (b) {
 			fill_update(rq, &b->args->updates.updates_val[b->nr]);
 			b->args->updates.updates_len = (u_int)b->nr + 1;
@@ -305,15 +313,15 @@
 
 	while (!atomic_load(&en->stopping)) {
 		clk_sleep_ms(en->set.copy_ms);
-		copy_round(en);
+		send_copies(en);
 	}
-	copy_round(en);
+	send_copies(en);
 	return NULL;
 }
 
 /* ---- Receiving ---- */
 
-static void take_tokens(struct ent_req *rq, const peer_update *u)
+static void apply_tokens(struct ent_req *rq, const peer_update *u)
 {
 	u_int i;
 
@@ -325,7 +333,7 @@
 	}
 }
 
-static void take_gens(struct ent_req *rq, const peer_update *u)
+static void apply_gens(struct ent_req *rq, const peer_update *u)
 {
 	u_int i;
 
@@ -336,7 +344,7 @@
 	}
 }
 
-static void take_end(struct ent_req *rq, const peer_update *u)
+static void apply_end(struct ent_req *rq, const peer_update *u)
 {
 	if (u->outcome == FLOW_OPEN || u->outcome > FLOW_FAILED)
 		return;
@@ -352,7 +360,7 @@
 	pthread_cond_broadcast(&rq->changed);
 }
 
-bool ent_take_update(struct entry *en, const peer_update *u)
+bool ent_apply_update(struct entry *en, const peer_update *u)
 {
 	struct ent_req *rq = ent_req_find(en, u->key);
 	bool ok = false, release = false;
@@ -360,19 +368,19 @@
 	if (!rq)
 		return false;
 	pthread_mutex_lock(&rq->lock);
-	/* After a takeover the old owner's news are of an older life. */
+	/* After a takeover or the end, updates of the old owner are stale. */
 	if (rq->role != ENT_HOLDER || rq->flow.phase == FLOW_DONE) {
 		ok = true;
 	} else if (u->from <= rq->flow.tokens) {
 		ok = true;
-		take_tokens(rq, u);
-		take_gens(rq, u);
+		apply_tokens(rq, u);
+		apply_gens(rq, u);
 		rq->flow.endpoint = u->endpoint;
 		rq->flow.attempt = u->attempt;
 		rq->status = u->status;
 		str_copy(rq->version, u->model_version, sizeof(rq->version));
 		str_copy(rq->finish, u->finish, sizeof(rq->finish));
-		take_end(rq, u);
+		apply_end(rq, u);
 		release = u->release && rq->flow.phase != FLOW_DONE;
 	}
 	pthread_mutex_unlock(&rq->lock);
@@ -384,8 +392,8 @@
 
 /* ---- Taking over ---- */
 
-/* A plain call of a lost owner: nobody can tell whether it ran. */
-static void end_plain(struct ent_req *rq)
+/* Ends a plain call of a lost owner: it is unknown whether it ran. */
+static void end_plain_unknown(struct ent_req *rq)
 {
 	rq->flow.outcome = FLOW_FAILED;
 	rq->flow.phase = FLOW_DONE;
@@ -396,10 +404,10 @@
 static void end_prompt_missing(struct ent_req *rq)
 {
 	rq->status = 502;
-	ent_do(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
+	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
-static char *prompt_of(const char *body)
+static char *copy_prompt(const char *body)
 {
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
 	struct json_object *p = jsn_get(o, "prompt");
@@ -416,7 +424,7 @@
 	struct flow_action a;
 
 	memcpy(gens, old.gens, sizeof(gens));
-	/* A seed of its own keeps its generations apart from the owner's. */
+	/* With another seed than the owner's, generations stay distinct. */
 	flow_init(&rq->flow, rnd_secret(), rq->prompt_tokens, old.deadline_ms);
 	flow_adopt(&rq->flow, gens, old.nr_gens, old.tokens, old.attempt,
 		   old.endpoint);
@@ -425,7 +433,7 @@
 	a.attempt = old.attempt;
 	a.from = old.tokens;
 	a.at_ms = ent_now(rq->en);
-	ent_do(rq, a);
+	ent_do_action(rq, a);
 }
 
 void ent_take_over(struct entry *en, struct ent_req *rq)
@@ -436,26 +444,26 @@
 		return;
 	}
 	rq->role = ENT_OWNER;
-	rq->former_owner = rq->owner;
+	rq->previous_owner = rq->owner;
 	rq->owner = en->self.id;
 	ent_req_open(rq);
 	met_inc(en->m.takeovers);
 	ent_req_log(rq, "takeover tokens=%u attempt=%u", rq->flow.tokens,
 		    rq->flow.attempt);
 	if (rq->plain) {
-		end_plain(rq);
+		end_plain_unknown(rq);
 	} else if (!rq->body) {
 		end_prompt_missing(rq);
 	} else {
 		rq->mod = ent_model_get(en, rq->service, rq->model, true);
-		rq->prompt = prompt_of(rq->body);
+		rq->prompt = copy_prompt(rq->body);
 		rq->prefix = mem_new(sizeof(*rq->prefix));
 		prefix_key_init(rq->prefix, rq->prompt, strlen(rq->prompt),
 				hsh_str(rq->model, 0));
 		continue_run(rq);
 	}
 	pthread_mutex_unlock(&rq->lock);
-	/* The copy that is left is the only one: make another. */
+	/* This is the only copy now: have another one made. */
 	ent_rehome(en, rq);
 }
 
@@ -482,14 +490,15 @@
 		ent_take_over(en, rq);
 }
 
-void ent_take_over_dead(struct entry *en)
+void ent_take_over_from_dead(struct entry *en)
 {
 	ent_req_each(en, take_over_if_dead, en);
 }
 
-/* ---- Answering a peer that has the caller ---- */
+/* ---- Serving peers that have the client ---- */
 
-void ent_fetch(struct entry *en, const peer_fetch_args *a, peer_fetch_reply *r)
+void ent_serve_fetch(struct entry *en, const peer_fetch_args *a,
+		     peer_fetch_reply *r)
 {
 	struct ent_req *rq = ent_req_find(en, a->key);
 	uint32_t from = a->from;
@@ -502,9 +511,9 @@
 		return;
 	}
 	/*
-	 * A model request may be continued on suspicion, since generations
-	 * keep two runs apart. A plain call's outcome may still arrive from an
-	 * owner that only its asker cannot reach.
+	 * A model request may be taken over on suspicion, since generations
+	 * distinguish the two runs. A plain call may not: its outcome may still
+	 * arrive from an owner that only the calling peer cannot reach.
 	 */
 	if (a->owner_lost && (!rq->plain || owner_dead(en, rq)))
 		ent_take_over(en, rq);
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -1,5 +1,5 @@
 /*
- * The table of requests: those this entry owns and the copies it holds.
+ * The table of requests: those that this entry owns, and copies that it holds.
  */
 #include "entry/entry_internal.h"
 
@@ -10,8 +10,8 @@
 
 #include "base/hsh.h"
 
-/* Decisions kept per request for `explain`; the log has them all. */
-#define LOG_MAX 4096
+/* Text of decisions kept per request for `explain`; the log has all. */
+#define MAX_LOG_BYTES 4096
 
 static struct cds_list_head *bucket_of(struct entry *en, const char *key)
 {
@@ -48,7 +48,7 @@
 		return;
 	buf_free(&rq->text);
 	buf_free(&rq->log);
-	free(rq->ends);
+	free(rq->token_ends);
 	free(rq->body);
 	free(rq->prompt);
 	free(rq->prefix);
@@ -84,37 +84,40 @@
 
 struct ent_req *ent_req_add(struct entry *en, struct ent_req *rq)
 {
-	struct ent_req *there;
+	struct ent_req *found;
 
 	pthread_mutex_lock(&en->table_lock);
-	there = find_locked(en, rq->key);
-	if (!there) {
+	found = find_locked(en, rq->key);
+	if (!found) {
 		cds_list_add(&rq->node, bucket_of(en, rq->key));
 		en->nr_reqs++;
-		there = rq;
-		ent_req_get(rq); /* the table's */
+		found = rq;
+		ent_req_get(rq); /* the table's reference */
 	}
-	ent_req_get(there); /* the caller's */
+	ent_req_get(found); /* the caller's reference */
 	pthread_mutex_unlock(&en->table_lock);
-	return there;
+	return found;
 }
 
 void ent_req_remove(struct entry *en, struct ent_req *rq)
 {
-	bool there;
+	bool found;
 
 	pthread_mutex_lock(&en->table_lock);
-	there = find_locked(en, rq->key) == rq;
-	if (there) {
+	found = find_locked(en, rq->key) == rq;
+	if (found) {
 		cds_list_del(&rq->node);
 		en->nr_reqs--;
 	}
 	pthread_mutex_unlock(&en->table_lock);
-	if (there)
+	if (found)
 		ent_req_put(rq);
 }
 
-/* Referenced first: `fn` takes locks that come before the table's. */
+/*
+ * Calls `fn` for each request and drops its reference. The references let the
+ * caller release table_lock first: `fn` takes locks that come before it.
+ */
 static void call_each(struct entry *en, struct ent_req **all, size_t n,
 		      void (*fn)(struct ent_req *rq, void *arg), void *arg)
 {
@@ -177,7 +180,7 @@
 		rq->open = true;
 		cds_list_add(&rq->open_node, &en->open);
 		ent_req_get(rq);
-		atomic_fetch_add(&en->running, 1);
+		atomic_fetch_add(&en->nr_open, 1);
 	}
 	pthread_mutex_unlock(&en->table_lock);
 }
@@ -192,52 +195,56 @@
 	if (was_open) {
 		rq->open = false;
 		cds_list_del(&rq->open_node);
-		atomic_fetch_sub(&en->running, 1);
+		atomic_fetch_sub(&en->nr_open, 1);
 	}
 	pthread_mutex_unlock(&en->table_lock);
-	/* The caller has a reference of its own. */
+	/* Not the last reference: the caller has its own. */
 	if (was_open)
 		ent_req_put(rq);
 }
 
-/* The answer goes; that the key ran, and how it ended, stays. */
-static void strip(struct ent_req *rq)
+/* Frees the answer but keeps the key and its outcome. */
+static void drop_answer(struct ent_req *rq)
 {
 	rq->stripped = true;
 	buf_free(&rq->text);
 	buf_free(&rq->log);
-	free(rq->ends);
-	rq->ends = NULL;
-	rq->ends_cap = 0;
+	free(rq->token_ends);
+	rq->token_ends = NULL;
+	rq->token_ends_cap = 0;
 	free(rq->result);
 	rq->result = NULL;
 	rq->flow.tokens = 0;
 	rq->flow.nr_gens = 0;
 }
 
-/* A key past its life is refused by its judges, so it may be forgotten. */
-static void expire_one(struct ent_req *rq, void *arg)
+/*
+ * Drops an answer replay_ms after its end, and removes a request at the end of
+ * its key's life, since the judges then refuse the key. A request that this
+ * entry still runs is kept for up to four lives.
+ */
+static void expire_request(struct ent_req *rq, void *arg)
 {
 	struct entry *en = arg;
 	const int64_t now = ent_now(en);
 	const int64_t age = now - rq->arrived_ms;
-	bool over;
+	bool expired;
 
 	if (age < en->set.replay_ms)
 		return;
 	pthread_mutex_lock(&rq->lock);
-	over = age >= en->set.key_life_ms &&
-	       (rq->flow.phase == FLOW_DONE || rq->role == ENT_HOLDER ||
-		age > 4 * en->set.key_life_ms);
+	expired = age >= en->set.key_life_ms &&
+		  (rq->flow.phase == FLOW_DONE || rq->role == ENT_HOLDER ||
+		   age > 4 * en->set.key_life_ms);
 	if (rq->ended_ms && !rq->stripped &&
 	    now - rq->ended_ms >= en->set.replay_ms)
-		strip(rq);
+		drop_answer(rq);
 	pthread_mutex_unlock(&rq->lock);
-	if (over)
+	if (expired)
 		ent_req_remove(en, rq);
 }
 
-/* Parts of the table that are looked over in turn, one a second. */
+/* ent_req_expire() checks one part of the table per call. */
 #define EXPIRE_PARTS 16
 
 void ent_req_expire(struct entry *en)
@@ -246,7 +253,7 @@
 	const size_t first = en->next_expire;
 
 	en->next_expire = (first + part) % ENT_REQ_BUCKETS;
-	each_bucket(en, first, first + part, expire_one, en);
+	each_bucket(en, first, first + part, expire_request, en);
 }
 
 /* ---- The answer ---- */
@@ -255,22 +262,25 @@
 {
 	const uint32_t n = rq->flow.tokens;
 
-	/* flow.tokens counts this one already. */
-	if (n > rq->ends_cap) {
-		rq->ends_cap = rq->ends_cap ? 2 * rq->ends_cap : 64;
-		rq->ends = realloc(rq->ends, rq->ends_cap * sizeof(*rq->ends));
-		if (!rq->ends)
+	/* flow.tokens includes this one. */
+	if (n > rq->token_ends_cap) {
+		rq->token_ends_cap = rq->token_ends_cap ? 2 * rq->token_ends_cap
+							: 64;
+		rq->token_ends =
+			realloc(rq->token_ends,
+				rq->token_ends_cap * sizeof(*rq->token_ends));
+		if (!rq->token_ends)
 			abort();
 	}
 	buf_str(&rq->text, token);
-	rq->ends[n - 1] = (uint32_t)rq->text.len;
+	rq->token_ends[n - 1] = (uint32_t)rq->text.len;
 }
 
 void ent_req_truncate(struct ent_req *rq, uint32_t tokens)
 {
 	if (!rq->text.data)
 		return;
-	rq->text.len = tokens ? rq->ends[tokens - 1] : 0;
+	rq->text.len = tokens ? rq->token_ends[tokens - 1] : 0;
 	rq->text.data[rq->text.len] = '\0';
 }
 
@@ -283,10 +293,11 @@
 	out = mem_new(*n * sizeof(*out));
 	for (i = 0; i < *n; i++) {
 		const uint32_t k = from + i;
-		const uint32_t begin = k ? rq->ends[k - 1] : 0;
+		const uint32_t begin = k ? rq->token_ends[k - 1] : 0;
 
-		out[i] = mem_new(rq->ends[k] - begin + 1);
-		memcpy(out[i], rq->text.data + begin, rq->ends[k] - begin);
+		out[i] = mem_new(rq->token_ends[k] - begin + 1);
+		memcpy(out[i], rq->text.data + begin,
+		       rq->token_ends[k] - begin);
 	}
 	return out;
 }
@@ -301,13 +312,13 @@
 	va_end(ap);
 	log_line(LOG_LEVEL_INFO, "route", "key=%s account=%s %s", rq->key,
 		 rq->account, line);
-	if (rq->log.len + strlen(line) + 32 > LOG_MAX)
+	if (rq->log.len + strlen(line) + 32 > MAX_LOG_BYTES)
 		return;
 	buf_fmt(&rq->log, "+%lldms %s\n",
 		(long long)(ent_now(rq->en) - rq->arrived_ms), line);
 }
 
-static void count_end(struct ent_req *rq)
+static void count_outcome(struct ent_req *rq)
 {
 	struct ent_metrics *m = &rq->en->m;
 	met_value *const rows[] = {
@@ -322,17 +333,17 @@
 	met_add(m->generated, rq->flow.tokens);
 }
 
-/* What was set aside for a long answer goes back to the account. */
-static void refund(struct ent_req *rq)
+/* Returns the tokens that were charged but not used to the account. */
+static void refund_unused(struct ent_req *rq)
 {
 	const double used = rq->prompt_tokens + (double)rq->flow.tokens;
 
-	if (!rq->acct || rq->charged <= used)
+	if (!rq->acct || rq->charged_tokens <= used)
 		return;
 	pthread_mutex_lock(&rq->acct->lock);
-	share_refund(&rq->acct->share, rq->charged - used);
+	share_refund(&rq->acct->share, rq->charged_tokens - used);
 	pthread_mutex_unlock(&rq->acct->lock);
-	rq->charged = used;
+	rq->charged_tokens = used;
 }
 
 void ent_req_end(struct ent_req *rq)
@@ -344,16 +355,16 @@
 		close_req(rq);
 		if (rq->acct)
 			atomic_fetch_sub(&rq->acct->in_flight, 1);
-		refund(rq);
-		count_end(rq);
+		refund_unused(rq);
+		count_outcome(rq);
 	}
 	ent_req_log(rq,
 		    "end outcome=%d tokens=%u status=%d attempts=%u "
 		    "recomputed=%u",
 		    rq->flow.outcome, rq->flow.tokens, rq->status,
 		    rq->flow.attempt, rq->flow.recomputed);
-	/* The prompt is no longer needed; answers are kept for replay, in just
-	 * the room they take: thousands of them outweigh all else. */
+	/* The prompt is no longer needed. Answers are kept for replay without
+	 * spare capacity: thousands of them dominate the memory usage. */
 	buf_trim(&rq->text);
 	buf_trim(&rq->log);
 	free(rq->prompt);
@@ -362,6 +373,6 @@
 	rq->body = NULL;
 	free(rq->prefix);
 	rq->prefix = NULL;
-	ent_copy_soon(rq);
+	ent_queue_copy(rq);
 	pthread_cond_broadcast(&rq->changed);
 }
--- a/lib/entry/ent_rescue.c
+++ b/lib/entry/ent_rescue.c
@@ -1,6 +1,7 @@
 /*
- * Reclaim notices: what becomes of the streams at an endpoint that goes.
- * The choice is rescue's, for all of this entry's streams there at once.
+ * Reclaim notices: finishes, moves or continues elsewhere the streams of the
+ * endpoint that is reclaimed. place/rescue plans this for all of this entry's
+ * streams there at once.
  */
 #include "entry/entry_internal.h"
 
@@ -8,24 +9,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Setting up a transfer and importing it. */
-#define MOVE_FIXED_MS 30
+/* Time of a transfer that does not depend on its size: set-up and import. */
+#define MOVE_OVERHEAD_MS 30
 
-/* A KV cache larger than this is not worth its transfer time. */
+/* Larger KV caches are not worth the transfer time. */
 #define MAX_KV_BYTES (512u * 1024 * 1024)
 
-#define MOVE_CALL_MS 10000
+#define MOVE_CALL_TIMEOUT_MS 10000 /* each for export and import */
 
+/* A KV cache transfer to be done by the mover thread. */
 struct move {
 	struct entry *en;
 	struct ent_req *rq;
-	uint64_t from;
-	int64_t start_ms;
-	int64_t end_ms;
+	uint64_t from;	  /* endpoint */
+	int64_t start_ms; /* as planned */
+	int64_t end_ms;	  /* end of the instance */
 };
 
 /* ---- The mover thread ---- */
 
+/* Copies the KV cache of run `id` between two addresses. Returns 0 or -1. */
 static int copy_kv(struct entry *en, const char *from, const char *to,
 		   const char *id, int64_t left_ms, struct err *e)
 {
@@ -36,7 +39,9 @@
 		.method = "GET",
 		.address = from,
 		.path = path,
-		.total_ms = left_ms < MOVE_CALL_MS ? left_ms : MOVE_CALL_MS,
+		.total_ms = left_ms < MOVE_CALL_TIMEOUT_MS
+				    ? left_ms
+				    : MOVE_CALL_TIMEOUT_MS,
 		.max_body = MAX_KV_BYTES,
 	};
 
@@ -57,8 +62,9 @@
 	return 0;
 }
 
-static bool addresses(struct move *m, uint64_t to, char from_addr[64],
-		      char to_addr[64])
+/* Looks up both endpoints' addresses; false if one is unknown. */
+static bool find_addresses(struct move *m, uint64_t to, char from_addr[64],
+			   char to_addr[64])
 {
 	struct ent_model *mod = m->rq->mod;
 	const struct route_endpoint *a, *b;
@@ -74,7 +80,7 @@
 	return a && b;
 }
 
-/* Continue from prompt and tokens: the way that always works. */
+/* Continues from the prompt and the tokens so far, which is always possible. */
 static void continue_elsewhere(struct ent_req *rq, uint32_t attempt)
 {
 	const struct flow_event ev = { FLOW_EV_MOVE, attempt, 0 };
@@ -85,11 +91,12 @@
 	a = flow_event(&rq->flow, &ev, &fresh, ent_now(rq->en));
 	if (a.kind == FLOW_WAIT)
 		return;
-	ent_do(rq, a);
+	ent_do_action(rq, a);
 	mux_cancel(rq->en->mux, old);
 }
 
-static bool still_there(const struct ent_req *rq, uint64_t endpoint)
+/* True if this entry owns the request and runs it on `endpoint`. Lock held. */
+static bool is_running_at(const struct ent_req *rq, uint64_t endpoint)
 {
 	return rq->role == ENT_OWNER && !rq->released &&
 	       rq->flow.endpoint == endpoint &&
@@ -107,23 +114,23 @@
 	bool ok = false;
 
 	pthread_mutex_lock(&rq->lock);
-	if (!still_there(rq, m->from)) {
-		rq->leaving_move = false;
+	if (!is_running_at(rq, m->from)) {
+		rq->kv_move_pending = false;
 		pthread_mutex_unlock(&rq->lock);
 		return;
 	}
 	attempt = rq->flow.attempt;
 	ent_stream_id(rq, id, sizeof(id));
-	c = ent_choose(rq, true);
+	c = ent_choose_endpoint(rq, true);
 	pthread_mutex_unlock(&rq->lock);
-	if (c.endpoint && c.has_room && addresses(m, c.endpoint, from, to))
+	if (c.endpoint && c.has_room && find_addresses(m, c.endpoint, from, to))
 		ok = !copy_kv(m->en, from, to, id, m->end_ms - ent_now(m->en),
 			      &e);
 	pthread_mutex_lock(&rq->lock);
-	rq->leaving_move = false;
+	rq->kv_move_pending = false;
 	ent_req_log(rq, "move kv=%s reason=\"%s\"", ok ? "moved" : "failed",
 		    e.text);
-	if (rq->flow.attempt != attempt || !still_there(rq, m->from)) {
+	if (rq->flow.attempt != attempt || !is_running_at(rq, m->from)) {
 		if (c.endpoint && c.has_room)
 			ent_release_endpoint(rq->mod, c.endpoint, false,
 					     ent_now(m->en));
@@ -157,20 +164,21 @@
 
 /* ---- Planning ---- */
 
-struct gathering {
+/* Referenced requests that run on `instance`. */
+struct stream_list {
 	struct entry *en;
 	uint64_t instance;
 	struct ent_req **rows;
 	size_t nr, cap;
 };
 
-static void gather(struct ent_req *rq, void *arg)
+static void collect_stream(struct ent_req *rq, void *arg)
 {
-	struct gathering *g = arg;
+	struct stream_list *g = arg;
 	bool there;
 
 	pthread_mutex_lock(&rq->lock);
-	there = still_there(rq, g->instance) && !rq->leaving_move;
+	there = is_running_at(rq, g->instance) && !rq->kv_move_pending;
 	pthread_mutex_unlock(&rq->lock);
 	if (!there)
 		return;
@@ -184,8 +192,8 @@
 	g->rows[g->nr++] = rq;
 }
 
-static void describe(const struct ent_req *rq, double mb_per_token,
-		     struct rescue_stream *s)
+static void describe_stream(const struct ent_req *rq, double mb_per_token,
+			    struct rescue_stream *s)
 {
 	const struct flow *f = &rq->flow;
 
@@ -199,8 +207,8 @@
 	s->weight = rq->weight * (rq->batch ? 0.5 : 1.0);
 }
 
-static void do_choice(struct entry *en, uint64_t instance, int64_t end_ms,
-		      struct ent_req *rq, const struct rescue_stream *s)
+static void apply_choice(struct entry *en, uint64_t instance, int64_t end_ms,
+			 struct ent_req *rq, const struct rescue_stream *s)
 {
 	static const char *const names[] = { "finish", "move", "continue" };
 
@@ -210,9 +218,9 @@
 		    "notice_ms=%lld",
 		    names[s->choice], s->done_tokens, s->left_tokens,
 		    (long long)(end_ms - ent_now(en)));
-	if (s->choice == RESCUE_CONTINUE && still_there(rq, instance)) {
+	if (s->choice == RESCUE_CONTINUE && is_running_at(rq, instance)) {
 		continue_elsewhere(rq, rq->flow.attempt);
-	} else if (s->choice == RESCUE_MOVE && still_there(rq, instance)) {
+	} else if (s->choice == RESCUE_MOVE && is_running_at(rq, instance)) {
 		struct move *m = mem_new(sizeof(*m));
 
 		m->en = en;
@@ -221,9 +229,9 @@
 		m->start_ms = s->start_ms;
 		m->end_ms = end_ms;
 		ent_req_get(rq);
-		rq->leaving_move = true;
+		rq->kv_move_pending = true;
 		if (!ring_push(en->moves, m)) {
-			rq->leaving_move = false;
+			rq->kv_move_pending = false;
 			ent_req_put(rq);
 			free(m);
 			continue_elsewhere(rq, rq->flow.attempt);
@@ -239,7 +247,8 @@
 	return x->start_ms < y->start_ms ? -1 : x->start_ms > y->start_ms;
 }
 
-static void plan_for(struct entry *en, struct gathering *g, int64_t end_ms)
+static void plan_streams(struct entry *en, struct stream_list *g,
+			 int64_t end_ms)
 {
 	MEM_AUTO struct rescue_stream *s = mem_new(g->nr * sizeof(*s));
 	struct ent_model *m = g->rows[0]->mod;
@@ -247,7 +256,7 @@
 	struct rescue_notice n = {
 		.now_ms = ent_now(en),
 		.end_ms = end_ms,
-		.move_fixed_ms = MOVE_FIXED_MS,
+		.move_fixed_ms = MOVE_OVERHEAD_MS,
 	};
 	double mb_per_token = 0.125;
 	size_t i;
@@ -256,7 +265,7 @@
 	n.between_tokens_ms = (double)m->between_tokens_ms;
 	ep = route_find(m->table, g->instance);
 	if (ep) {
-		/* The streams of other entries share the endpoint's link. */
+		/* Streams of other entries share the endpoint's bandwidth. */
 		const double all = ep->streams > (int64_t)g->nr
 					   ? (double)ep->streams
 					   : (double)g->nr;
@@ -267,24 +276,24 @@
 	pthread_mutex_unlock(&m->lock);
 	for (i = 0; i < g->nr; i++) {
 		pthread_mutex_lock(&g->rows[i]->lock);
-		describe(g->rows[i], mb_per_token, &s[i]);
+		describe_stream(g->rows[i], mb_per_token, &s[i]);
 		s[i].tag = i;
 		pthread_mutex_unlock(&g->rows[i]->lock);
 	}
 	rescue_plan(&n, s, g->nr);
 	qsort(s, g->nr, sizeof(*s), by_start);
 	for (i = 0; i < g->nr; i++)
-		do_choice(en, g->instance, end_ms, g->rows[s[i].tag], &s[i]);
+		apply_choice(en, g->instance, end_ms, g->rows[s[i].tag], &s[i]);
 }
 
 void ent_rescue(struct entry *en, uint64_t instance, int64_t end_ms)
 {
-	struct gathering g = { .en = en, .instance = instance };
+	struct stream_list g = { .en = en, .instance = instance };
 	size_t i;
 
-	ent_req_each_open(en, gather, &g);
+	ent_req_each_open(en, collect_stream, &g);
 	if (g.nr)
-		plan_for(en, &g, end_ms);
+		plan_streams(en, &g, end_ms);
 	for (i = 0; i < g.nr; i++)
 		ent_req_put(g.rows[i]);
 	free(g.rows);
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -1,6 +1,6 @@
 /*
- * Running requests: calls to engines, their streams, and retries. The choices
- * are those of route and flow; reclaim rescue is in ent_rescue.c.
+ * Runs of requests: calls to engines, their streams, and retries. Decisions are
+ * made by route and flow; rescue from reclaims is in ent_rescue.c.
  */
 #include "entry/entry_internal.h"
 
@@ -10,27 +10,29 @@
 
 #include "base/hsh.h"
 
-/* An engine that sends no token for so long has lost the run. */
+/* An engine that sends nothing for this long has probably lost the run. */
 #define STREAM_IDLE_MS 8000
 
-/* An endpoint that failed is left alone for a while. */
-#define AVOID_MS 1000
+/* Backoff after the failure of an endpoint. */
+#define ENDPOINT_BACKOFF_MS 1000
 
-/* Batch work leaves this part of an endpoint's slots to interactive work. */
-#define BATCH_RESERVE 0.25
+/* Fraction of an endpoint's slots that batch requests leave free for
+ * interactive ones. */
+#define BATCH_RESERVED_FRACTION 0.25
 
 /* ---- Streams ---- */
 
+/* An open stream of an engine. */
 struct stream {
 	struct entry *en;
 	struct ent_req *rq;
 	uint64_t endpoint;
 	uint32_t attempt;
-	bool resumed;
+	bool resumed; /* reads an existing run again */
 	struct sse sse;
-	uint32_t next;
-	bool done;
-	int status;
+	uint32_t next; /* offset of the next token */
+	bool done;     /* the engine's end mark was read */
+	int status;    /* HTTP; 0: none yet */
 };
 
 void ent_release_endpoint(struct ent_model *m, uint64_t id, bool failed,
@@ -43,7 +45,7 @@
 	if (ep) {
 		route_done(ep, now);
 		if (failed)
-			ep->avoid_until_ms = now + AVOID_MS;
+			ep->avoid_until_ms = now + ENDPOINT_BACKOFF_MS;
 	}
 	pthread_mutex_unlock(&m->lock);
 }
@@ -54,9 +56,12 @@
 		    rq->flow.attempt, rq->flow.tokens);
 }
 
-/* Gives an event to the flow and does what it says. Lock held. */
-static bool tell_flow(struct ent_req *rq, enum flow_event_kind kind,
-		      uint32_t attempt, uint32_t offset)
+/*
+ * Passes an event to the flow and executes the resulting action. True if it is
+ * a new token. Lock held.
+ */
+static bool handle_flow_event(struct ent_req *rq, enum flow_event_kind kind,
+			      uint32_t attempt, uint32_t offset)
 {
 	const struct flow_event ev = { kind, attempt, offset };
 	struct flow_action a;
@@ -66,7 +71,7 @@
 	if (kind == FLOW_EV_TOKEN && !fresh)
 		met_inc(rq->en->m.tokens_dropped);
 	if (!fresh || kind != FLOW_EV_TOKEN)
-		ent_do(rq, a);
+		ent_do_action(rq, a);
 	return fresh;
 }
 
@@ -79,10 +84,12 @@
 }
 
 /*
- * Each answer is checked against what was asked: an order of a paused holder
- * may have changed what the endpoint runs.
+ * True if the answer is by the requested model, and by the version of the
+ * tokens so far. Checked on each event: a stale order of a lease holder that
+ * was paused may have changed what the endpoint runs.
  */
-static bool right_model(struct ent_req *rq, const struct engine_event *ev)
+static bool is_expected_version(struct ent_req *rq,
+				const struct engine_event *ev)
 {
 	if (*ev->model && strcmp(ev->model, rq->model))
 		return false;
@@ -97,18 +104,19 @@
 {
 	struct ent_req *rq = s->rq;
 
-	if (!right_model(rq, ev)) {
+	if (!is_expected_version(rq, ev)) {
 		met_inc(rq->en->m.stale_versions);
 		log_engine(rq, "other-version");
-		tell_flow(rq, FLOW_EV_MISMATCH, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_MISMATCH, s->attempt, 0);
 		return false;
 	}
 	if (*ev->finish)
 		str_copy(rq->finish, ev->finish, sizeof(rq->finish));
 	if (ev->is_token) {
-		if (tell_flow(rq, FLOW_EV_TOKEN, s->attempt, ev->offset)) {
+		if (handle_flow_event(rq, FLOW_EV_TOKEN, s->attempt,
+				      ev->offset)) {
 			ent_req_append(rq, ev->text);
-			ent_copy_soon(rq);
+			ent_queue_copy(rq);
 			pthread_cond_broadcast(&rq->changed);
 		}
 		s->next = ev->offset + 1;
@@ -120,7 +128,7 @@
 {
 	struct stream *s = arg;
 	struct engine_event ev;
-	bool go;
+	bool keep_reading;
 
 	if (engine_read_event(e->id, e->data, s->next, &ev))
 		return false;
@@ -129,10 +137,10 @@
 		return true;
 	}
 	pthread_mutex_lock(&s->rq->lock);
-	/* An older attempt may still be talking. */
-	go = s->attempt == s->rq->flow.attempt && on_token(s, &ev);
+	/* Events of an earlier attempt may still arrive. */
+	keep_reading = s->attempt == s->rq->flow.attempt && on_token(s, &ev);
 	pthread_mutex_unlock(&s->rq->lock);
-	return go;
+	return keep_reading;
 }
 
 static bool on_data(const char *data, size_t len, void *arg)
@@ -142,41 +150,42 @@
 	return sse_feed(&s->sse, data, len, on_event, s);
 }
 
-/* The reply to a run that is the caller's fault; it would be so anywhere. */
-static bool is_callers_fault(int status)
+/* Client errors, which every endpoint would report. */
+static bool is_client_error(int status)
 {
 	return status == 400 || status == 413 || status == 422;
 }
 
-static void end_callers_fault(struct ent_req *rq, int status)
+static void end_client_error(struct ent_req *rq, int status)
 {
 	rq->status = status;
-	ent_do(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
+	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
-/* What the end of a stream means to the flow. Lock held. */
-static void judge_end(struct stream *s, enum err_code why)
+/* Reports the end of a stream to the flow. Lock held. */
+static void classify_end(struct stream *s, enum err_code why)
 {
 	struct ent_req *rq = s->rq;
 
 	if (why == ERR_NONE && s->status == 200 && s->done) {
-		tell_flow(rq, FLOW_EV_END, s->attempt, s->next);
+		handle_flow_event(rq, FLOW_EV_END, s->attempt, s->next);
 	} else if (why == ERR_REFUSED && !s->resumed) {
 		log_engine(rq, "no-connection");
-		tell_flow(rq, FLOW_EV_REFUSED, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_REFUSED, s->attempt, 0);
 	} else if (s->status == 429 || s->status == 503) {
 		log_engine(rq, "busy");
-		tell_flow(rq, FLOW_EV_REFUSED, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_REFUSED, s->attempt, 0);
 	} else if (s->status == 404) {
 		log_engine(rq, "gone");
-		tell_flow(rq, s->resumed ? FLOW_EV_GONE : FLOW_EV_REFUSED,
-			  s->attempt, 0);
-	} else if (!s->resumed && is_callers_fault(s->status)) {
+		handle_flow_event(rq,
+				  s->resumed ? FLOW_EV_GONE : FLOW_EV_REFUSED,
+				  s->attempt, 0);
+	} else if (!s->resumed && is_client_error(s->status)) {
 		log_engine(rq, "bad-request");
-		end_callers_fault(rq, s->status);
+		end_client_error(rq, s->status);
 	} else {
 		log_engine(rq, "broken");
-		tell_flow(rq, FLOW_EV_BROKEN, s->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_BROKEN, s->attempt, 0);
 	}
 }
 
@@ -192,9 +201,9 @@
 	pthread_mutex_lock(&rq->lock);
 	if (s->attempt == rq->flow.attempt && rq->flow.phase != FLOW_QUEUED &&
 	    !rq->released)
-		judge_end(s, why);
+		classify_end(s, why);
 	pthread_mutex_unlock(&rq->lock);
-	/* Room came free: the queue may go on. */
+	/* A slot became free: check the wait queue. */
 	ent_send_command(s->en, ENT_CMD_WAKE, NULL, 0, 0, 0);
 	sse_free(&s->sse);
 	ent_req_put(rq);
@@ -242,7 +251,7 @@
 	ent_req_put(rq);
 	free(s);
 	ent_release_endpoint(rq->mod, endpoint, false, ent_now(rq->en));
-	tell_flow(rq, FLOW_EV_REFUSED, rq->flow.attempt, 0);
+	handle_flow_event(rq, FLOW_EV_REFUSED, rq->flow.attempt, 0);
 }
 
 static void call_engine(struct ent_req *rq, const struct flow_action *a)
@@ -270,7 +279,7 @@
 	    engine_print_run(&run, &body)) {
 		ent_release_endpoint(rq->mod, a->endpoint, false,
 				     ent_now(rq->en));
-		tell_flow(rq, FLOW_EV_REFUSED, a->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_REFUSED, a->attempt, 0);
 		return;
 	}
 	filled.body = body.data;
@@ -291,7 +300,7 @@
 	struct route_endpoint *ep;
 
 	if (!endpoint_address(rq->mod, a->endpoint, address, sizeof(address))) {
-		tell_flow(rq, FLOW_EV_GONE, a->attempt, 0);
+		handle_flow_event(rq, FLOW_EV_GONE, a->attempt, 0);
 		return;
 	}
 	ent_stream_id(rq, id, sizeof(id));
@@ -305,16 +314,20 @@
 	open_stream(rq, &mr, a->endpoint, true);
 }
 
-/* ---- Doing what the flow says; the request's lock is held ---- */
+/* ---- Executing flow actions; the request's lock is held ---- */
 
 void ent_give_up(struct ent_req *rq, const char *why)
 {
 	ent_req_log(rq, "give-up reason=%s", why);
-	ent_do(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
+	ent_do_action(rq, flow_give_up(&rq->flow, ent_now(rq->en)));
 }
 
-/* Retries pay from the account's budget; rescue from a reclaim does not. */
-static bool retry_paid(struct ent_req *rq)
+/*
+ * Charges a retry to the account's retry budget; false if it is spent. The
+ * first attempt is free. Runs that have tokens, such as those rescued from a
+ * reclaim, are continued without a charge.
+ */
+static bool charge_retry(struct ent_req *rq)
 {
 	bool ok;
 
@@ -326,7 +339,7 @@
 	return ok;
 }
 
-void ent_do(struct ent_req *rq, struct flow_action a)
+void ent_do_action(struct ent_req *rq, struct flow_action a)
 {
 	switch (a.kind) {
 	case FLOW_WAIT:
@@ -334,7 +347,7 @@
 	case FLOW_ROUTE:
 		if (rq->flow.tokens)
 			met_inc(rq->en->m.continued);
-		if (!rq->flow.tokens && !retry_paid(rq)) {
+		if (!rq->flow.tokens && !charge_retry(rq)) {
 			ent_give_up(rq, "retry-budget");
 			return;
 		}
@@ -352,10 +365,10 @@
 	}
 }
 
-/* ---- Choosing ---- */
+/* ---- Choosing endpoints ---- */
 
 /* Called with the model's lock held. */
-void ent_fill_ask(const struct ent_req *rq, struct route_query *ask)
+void ent_fill_query(const struct ent_req *rq, struct route_query *ask)
 {
 	memset(ask, 0, sizeof(*ask));
 	ask->prefix = rq->prefix;
@@ -366,7 +379,7 @@
 	ask->zone = rq->en->self.zone;
 	ask->avoid = rq->flow.avoid;
 	ask->recompute_weight = rq->mod->recompute_weight;
-	ask->reserve = rq->batch ? BATCH_RESERVE : 0;
+	ask->reserve = rq->batch ? BATCH_RESERVED_FRACTION : 0;
 }
 
 static void log_choice(struct ent_req *rq, const struct route_choice *c,
@@ -391,8 +404,7 @@
 		    c->cached_chars, c->considered, rows);
 }
 
-/* Chooses and notes the choice in the table. */
-struct route_choice ent_choose(struct ent_req *rq, bool only_with_room)
+struct route_choice ent_choose_endpoint(struct ent_req *rq, bool only_with_room)
 {
 	struct route_score s[ROUTE_MAX_SCORES];
 	struct ent_model *m = rq->mod;
@@ -402,7 +414,7 @@
 	size_t n = 0;
 
 	pthread_mutex_lock(&m->lock);
-	ent_fill_ask(rq, &ask);
+	ent_fill_query(rq, &ask);
 	c = route_choose(m->table, m->prefix, &ask, &m->rnd, now, s, &n);
 	if (c.endpoint && (c.has_room || !only_with_room)) {
 		route_sent(route_find(m->table, c.endpoint), now);
@@ -415,8 +427,9 @@
 }
 
 /*
- * Nothing runs the version that the tokens so far came from: after a while
- * the answer begins anew, marked, on whatever the document names now.
+ * Starts the answer over, if no endpoint has run the model version of the
+ * tokens so far for SAME_VERSION_WAIT_MS. The new run takes whatever version
+ * the document names now. The client receives a restart event.
  */
 static void restart_answer(struct ent_req *rq)
 {
@@ -427,48 +440,51 @@
 	ent_req_truncate(rq, 0);
 	rq->version[0] = '\0';
 	rq->finish[0] = '\0';
-	rq->copied = 0;
+	rq->copied_tokens = 0;
 	pthread_cond_broadcast(&rq->changed);
 }
 
-#define ROUTE_AGAIN_MS 50
+#define ROUTE_RETRY_MS 50 /* interval of attempts without an endpoint */
 
-/* How long an exact continuation is waited for before a marked restart. */
-#define EXACT_WAIT_MS 1500
+/*
+ * Wait for an endpoint that runs the version of the tokens so far, before the
+ * answer is restarted; and for any endpoint, before a request that has not run
+ * is given up.
+ */
+#define SAME_VERSION_WAIT_MS 1500
 
-static void nothing_to_choose(struct ent_req *rq, int64_t now)
+static void handle_no_endpoint(struct ent_req *rq, int64_t now)
 {
-	if (!rq->first_wait_ms)
-		rq->first_wait_ms = now + EXACT_WAIT_MS;
-	if (rq->flow.tokens && now >= rq->first_wait_ms)
+	if (!rq->start_by_ms)
+		rq->start_by_ms = now + SAME_VERSION_WAIT_MS;
+	if (rq->flow.tokens && now >= rq->start_by_ms)
 		restart_answer(rq);
 	if (now >= rq->flow.deadline_ms ||
-	    (!rq->flow.ran && now >= rq->first_wait_ms)) {
+	    (!rq->flow.ran && now >= rq->start_by_ms)) {
 		ent_give_up(rq, "no-endpoint");
 		return;
 	}
-	ent_send_command(rq->en, ENT_CMD_ROUTE, rq, 0, now + ROUTE_AGAIN_MS, 0);
+	ent_send_command(rq->en, ENT_CMD_ROUTE, rq, 0, now + ROUTE_RETRY_MS, 0);
 }
 
-/* Routes a request that is due; the lock is held. */
 void ent_route_and_call(struct ent_req *rq)
 {
 	const int64_t now = ent_now(rq->en);
 	struct route_choice c;
 	struct flow_action a;
 
-	if (rq->flow.phase != FLOW_QUEUED || rq->leaving_move)
+	if (rq->flow.phase != FLOW_QUEUED || rq->kv_move_pending)
 		return;
-	c = ent_choose(rq, false);
+	c = ent_choose_endpoint(rq, false);
 	if (!c.endpoint) {
-		nothing_to_choose(rq, now);
+		handle_no_endpoint(rq, now);
 		return;
 	}
-	rq->first_wait_ms = 0;
+	rq->start_by_ms = 0;
 	a = flow_routed(&rq->flow, c.endpoint, false, now);
 	if (a.kind != FLOW_CALL)
 		ent_release_endpoint(rq->mod, c.endpoint, false, now);
-	ent_do(rq, a);
+	ent_do_action(rq, a);
 }
 
 void ent_move_to(struct ent_req *rq, uint64_t endpoint, const char *kv_from)
@@ -482,10 +498,10 @@
 	a = flow_event(&rq->flow, &ev, &fresh, now);
 	if (a.kind != FLOW_ROUTE) {
 		ent_release_endpoint(rq->mod, endpoint, false, now);
-		ent_do(rq, a);
+		ent_do_action(rq, a);
 		return;
 	}
 	str_copy(rq->kv_from, kv_from, sizeof(rq->kv_from));
-	ent_do(rq, flow_routed(&rq->flow, endpoint, true, now));
+	ent_do_action(rq, flow_routed(&rq->flow, endpoint, true, now));
 	mux_cancel(rq->en->mux, old_stream);
 }
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -1,6 +1,7 @@
 /*
- * Snapshots of what is in force, and the tables of endpoints built from the
- * items. Everything here but the look-ups runs on the member thread.
+ * Snapshots of documents, views and members, and the endpoint tables that are
+ * built from the gossiped items. All but the look-ups runs on the member
+ * thread.
  */
 #include "entry/entry_internal.h"
 
@@ -12,14 +13,14 @@
 #include "base/hsh.h"
 #include "base/jsn.h"
 
-/* Blocks of prompt text remembered per model: 16 Ki x 72 B is 1.2 MB. */
-#define PREFIX_BLOCKS 16384
+/* Blocks in the prefix index of a model: 16 Ki x 72 B is 1.2 MB. */
+#define MAX_PREFIX_BLOCKS 16384
 
-/* Waiting requests per model; more could not start in time anyway. */
-#define QUEUE_MAX 1024
+/* Queued requests per model; further ones could not start in time. */
+#define MAX_QUEUED 1024
 
-/* Endpoints of one model known at once; the target has 2,700 in all. */
-#define TABLE_MAX 4096
+/* Endpoints per model; the target has 2,700 in total. */
+#define MAX_ENDPOINTS 4096
 
 /* ---- Reading a snapshot ---- */
 
@@ -51,9 +52,9 @@
 	while (lo < hi) {
 		const size_t mid = (lo + hi) / 2;
 
-		if (s->members[mid].who.id == id)
+		if (s->members[mid].info.id == id)
 			return &s->members[mid];
-		if (s->members[mid].who.id < id)
+		if (s->members[mid].info.id < id)
 			lo = mid + 1;
 		else
 			hi = mid;
@@ -74,8 +75,8 @@
 }
 
 /*
- * Looked up by the hash of the key, so that the time taken tells nothing of
- * the key itself; the final comparison takes constant time all the same.
+ * Searches by the hash of the key, so that the time taken reveals nothing about
+ * the key. The final comparison takes constant time nevertheless.
  */
 const struct ent_account_ref *ent_snap_account(const struct ent_snap *s,
 					       const char *bearer)
@@ -112,7 +113,7 @@
 {
 	const struct ent_member *x = a, *y = b;
 
-	return x->who.id < y->who.id ? -1 : x->who.id > y->who.id;
+	return x->info.id < y->info.id ? -1 : x->info.id > y->info.id;
 }
 
 static void add_docs(struct entry *en, struct ent_snap *s)
@@ -152,9 +153,9 @@
 	pthread_mutex_unlock(&en->member_lock);
 	s->members = mem_new(n * sizeof(*s->members));
 	for (i = 0; i < n; i++) {
-		s->members[i].who = all[i].member;
-		s->members[i].who.id = view_instance_id(all[i].member.name,
-							all[i].member.boot);
+		s->members[i].info = all[i].member;
+		s->members[i].info.id = view_instance_id(all[i].member.name,
+							 all[i].member.boot);
 		s->members[i].state = all[i].state;
 	}
 	s->nr_members = n;
@@ -240,7 +241,7 @@
 		 detail);
 }
 
-/* ---- Process-lived tables ---- */
+/* ---- Accounts, models and pools ---- */
 
 struct ent_account *ent_account_get(struct entry *en, const char *service,
 				    const char *account, double limit)
@@ -290,9 +291,9 @@
 		str_copy(found->service, service, sizeof(found->service));
 		str_copy(found->name, name, sizeof(found->name));
 		pthread_mutex_init(&found->lock, NULL);
-		found->table = route_create(en->self.id, TABLE_MAX);
-		found->prefix = prefix_create(PREFIX_BLOCKS);
-		found->queue = wfq_create(WFQ_FAIR, QUEUE_MAX);
+		found->table = route_create(en->self.id, MAX_ENDPOINTS);
+		found->prefix = prefix_create(MAX_PREFIX_BLOCKS);
+		found->queue = wfq_create(WFQ_FAIR, MAX_QUEUED);
 		rnd_seed(&found->rnd, rnd_secret());
 		found->first_token_ms = 1000;
 		found->between_tokens_ms = 50;
@@ -326,9 +327,12 @@
 	return found;
 }
 
-/* ---- Acting on items ---- */
+/* ---- Applying items ---- */
 
-/* Copies an item's body out, so that no lock is held while it is read. */
+/*
+ * Returns a copy of the item's body and sets `*rev`; NULL if it is unknown. A
+ * copy, so that no lock is held while it is parsed.
+ */
 static char *item_body(struct entry *en, const char *name, uint64_t *rev)
 {
 	const struct spread_item *it;
@@ -345,7 +349,7 @@
 	return body;
 }
 
-static void apply_model_facts(struct entry *en, const struct doc *d)
+static void update_models_and_accounts(struct entry *en, const struct doc *d)
 {
 	size_t i;
 
@@ -386,8 +390,9 @@
 }
 
 /*
- * All but the newest view are kept for as long as a grant may name them, and
- * a little, since clocks differ; the newest for a peer that joins later.
+ * Lets the items of all views but the latest expire after twice the life of a
+ * key: grants may refer to them for one life, and clocks differ. The latest is
+ * kept for peers that join later.
  */
 static void expire_old_views(struct entry *en)
 {
@@ -404,8 +409,8 @@
 	pthread_mutex_unlock(&en->member_lock);
 }
 
-/* A full list drops the oldest view. */
-static void act_on_view(struct entry *en, const char *body)
+/* Adds a view; drops the oldest if there are ENT_MAX_VIEWS already. */
+static void apply_view(struct entry *en, const char *body)
 {
 	struct err e = ERR_INIT;
 	struct view *v = view_parse(body, strlen(body), &e);
@@ -441,14 +446,15 @@
 }
 
 /*
- * Chance of a reclaim per second: one a day when all is calm; within half a
- * minute where notices are coming in, since waves take a zone as a whole.
+ * Probability of a reclaim per second: usually one a day; one per 30 s in a
+ * zone with a notice in the last ALERT_MS, since reclaims come in waves that
+ * affect a whole zone.
  */
-#define CALM_RISK (1.0 / 86400.0)
-#define ALERT_RISK (1.0 / 30.0)
+#define BASE_RECLAIM_RISK (1.0 / 86400.0)
+#define ALERT_RECLAIM_RISK (1.0 / 30.0)
 #define ALERT_MS 60000
 
-static bool on_alert(const struct entry *en, const char *zone)
+static bool zone_has_alert(const struct entry *en, const char *zone)
 {
 	size_t i;
 
@@ -462,7 +468,7 @@
 static void fill_endpoint(struct entry *en, const struct ent_inst *in,
 			  struct route_endpoint *ep)
 {
-	const struct cloud_instance *c = &in->in;
+	const struct cloud_instance *c = &in->info;
 	struct ent_doc *d = find_doc(en, c->service);
 	const struct doc_class *k = d ? doc_find_class(d->doc, c->class_name)
 				      : NULL;
@@ -473,30 +479,32 @@
 	str_copy(ep->address, c->address, sizeof(ep->address));
 	str_copy(ep->zone, c->zone, sizeof(ep->zone));
 	ep->reclaimable = c->reclaimable;
-	ep->leaving = c->state != CLOUD_RUNNING || in->end_ms;
+	ep->leaving = c->state != CLOUD_RUNNING || in->reclaim_ms;
 	ep->tokens_per_s = k ? k->tokens_per_s : 400;
 	ep->prefill_per_s = k ? k->prefill_tokens_per_s : 4000;
 	ep->slots = k ? k->slots : 8;
 	ep->kv_mb_per_s = k ? k->kv_mb_per_s : 0;
 	ep->kv_mb_per_token = k ? k->kv_mb_per_token : 0.125;
 	if (c->reclaimable)
-		ep->risk_per_s = on_alert(en, c->zone) ? ALERT_RISK : CALM_RISK;
+		ep->risk_per_s = zone_has_alert(en, c->zone)
+					 ? ALERT_RECLAIM_RISK
+					 : BASE_RECLAIM_RISK;
 }
 
 static void update_table(struct entry *en, const struct ent_inst *in)
 {
 	struct ent_model *m =
-		ent_model_get(en, in->in.service, in->in.role, true);
+		ent_model_get(en, in->info.service, in->info.role, true);
 	struct route_endpoint ep, *known;
 
 	fill_endpoint(en, in, &ep);
 	pthread_mutex_lock(&m->lock);
 	known = route_find(m->table, in->id);
-	if (in->in.state == CLOUD_GONE || in->in.state == CLOUD_STARTING) {
+	if (in->info.state == CLOUD_GONE || in->info.state == CLOUD_STARTING) {
 		if (known)
 			route_remove(m->table, in->id);
 	} else {
-		/* What its own report said stays until the next one. */
+		/* Keep what the endpoint reported until its next report. */
 		if (known) {
 			ep.ready = known->ready;
 			memcpy(ep.version, known->version, sizeof(ep.version));
@@ -510,13 +518,13 @@
 static void update_pool(struct entry *en, const struct ent_inst *in)
 {
 	struct ent_pool *p =
-		ent_pool_get(en, in->in.service, in->in.role, true);
+		ent_pool_get(en, in->info.service, in->info.role, true);
 	size_t i;
 
 	pthread_mutex_lock(&p->lock);
 	for (i = 0; i < p->nr && p->rows[i].id != in->id; i++)
 		;
-	if (in->in.state == CLOUD_GONE) {
+	if (in->info.state == CLOUD_GONE) {
 		if (i < p->nr)
 			p->rows[i] = p->rows[--p->nr];
 	} else if (i < ENT_POOL_MAX) {
@@ -525,11 +533,12 @@
 			p->nr++;
 		}
 		p->rows[i].id = in->id;
-		str_copy(p->rows[i].address, in->in.address,
+		str_copy(p->rows[i].address, in->info.address,
 			 sizeof(p->rows[i].address));
-		str_copy(p->rows[i].zone, in->in.zone, sizeof(p->rows[i].zone));
-		p->rows[i].leaving = in->in.state != CLOUD_RUNNING ||
-				     in->end_ms;
+		str_copy(p->rows[i].zone, in->info.zone,
+			 sizeof(p->rows[i].zone));
+		p->rows[i].leaving = in->info.state != CLOUD_RUNNING ||
+				     in->reclaim_ms;
 	}
 	pthread_mutex_unlock(&p->lock);
 }
@@ -546,36 +555,38 @@
 		return NULL;
 	in = mem_new(sizeof(*in));
 	in->id = id;
-	in->in.state = CLOUD_GONE;
+	in->info.state = CLOUD_GONE;
 	cds_list_add(&in->node, &en->insts);
 	return in;
 }
 
-static void show_inst(struct entry *en, const struct ent_inst *in)
+static void update_instance(struct entry *en, const struct ent_inst *in)
 {
-	if (!strcmp(in->in.kind, "engine"))
+	if (!strcmp(in->info.kind, "engine"))
 		update_table(en, in);
-	else if (!strcmp(in->in.kind, "plain"))
+	else if (!strcmp(in->info.kind, "plain"))
 		update_pool(en, in);
 }
 
 /*
- * What a machine class can do is the document's word, and instances may be
- * known before it is: their endpoints were then given defaults, half the real
- * prefill rate, and the few started later drew a fifth of all requests.
+ * Updates the endpoints of a service after a change of its document, which
+ * specifies the performance of the machine classes. Instances may be known
+ * before the document and then have defaults. When these were kept, at half the
+ * real prefill rate, the few instances started later got a fifth of all
+ * requests.
  */
-static void show_service(struct entry *en, const char *service)
+static void update_service_instances(struct entry *en, const char *service)
 {
 	struct ent_inst *in;
 
 	cds_list_for_each_entry(in, &en->insts, node) {
-		if (!strcmp(in->in.service, service))
-			show_inst(en, in);
+		if (!strcmp(in->info.service, service))
+			update_instance(en, in);
 	}
 }
 
-static void act_on_doc(struct entry *en, const char *name, const char *body,
-		       uint64_t rev)
+static void apply_doc(struct entry *en, const char *name, const char *body,
+		      uint64_t rev)
 {
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
 	struct err e = ERR_INIT;
@@ -584,7 +595,7 @@
 
 	parsed = doc_parse(name, jsn_str(o, "text", ""), &e);
 	if (!parsed) {
-		/* Accepted documents were valid; this one is kept out. */
+		/* Only valid documents are accepted; ignore this one. */
 		ent_alarm(en, "document-unreadable", e.text);
 		return;
 	}
@@ -596,9 +607,9 @@
 	if (old)
 		cds_list_del(&old->node);
 	cds_list_add(&d->node, &en->docs);
-	apply_model_facts(en, parsed);
+	update_models_and_accounts(en, parsed);
 	ent_publish(en);
-	show_service(en, d->service);
+	update_service_instances(en, d->service);
 	log_line(LOG_LEVEL_INFO, "config",
 		 "document=%s revision=%llu in-force=yes", d->service,
 		 (unsigned long long)rev);
@@ -623,24 +634,23 @@
 		str_copy(en->alerts[en->nr_alerts++].zone, zone, DOC_NAME_MAX);
 	en->alerts[i].until_ms = ent_now(en) + ALERT_MS;
 	cds_list_for_each_entry(in, &en->insts, node) {
-		if (!strcmp(in->in.zone, zone) && in->in.reclaimable)
-			show_inst(en, in);
+		if (!strcmp(in->info.zone, zone) && in->info.reclaimable)
+			update_instance(en, in);
 	}
 }
 
 static void start_rescue(struct entry *en, struct ent_inst *in, int64_t end)
 {
-	in->end_ms = end;
-	show_inst(en, in);
-	if (in->in.reclaimable)
-		raise_alert(en, in->in.zone);
+	in->reclaim_ms = end;
+	update_instance(en, in);
+	if (in->info.reclaimable)
+		raise_alert(en, in->info.zone);
 	log_line(LOG_LEVEL_INFO, "reclaim", "instance=%s left_ms=%lld",
-		 in->in.id, (long long)(end - ent_now(en)));
+		 in->info.id, (long long)(end - ent_now(en)));
 	ent_send_command(en, ENT_CMD_RESCUE, NULL, in->id, 0, end);
 }
 
-static void act_on_instance(struct entry *en, const char *name,
-			    const char *body)
+static void apply_instance(struct entry *en, const char *name, const char *body)
 {
 	const uint64_t id = hsh_str(name + strlen("inst/"), 0);
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
@@ -650,27 +660,27 @@
 	if (!o)
 		return;
 	in = find_inst(en, id, true);
-	cloud_read_instance(o, &in->in);
-	/* An address that serves a new life is not under the old notice. */
-	if (in->in.state == CLOUD_STARTING || in->in.state == CLOUD_GONE)
-		in->end_ms = 0;
-	show_inst(en, in);
-	if (known && in->in.state == CLOUD_GONE)
+	cloud_read_instance(o, &in->info);
+	/* A notice does not apply to a new instance at the same address. */
+	if (in->info.state == CLOUD_STARTING || in->info.state == CLOUD_GONE)
+		in->reclaim_ms = 0;
+	update_instance(en, in);
+	if (known && in->info.state == CLOUD_GONE)
 		ent_send_command(en, ENT_CMD_RESCUE, NULL, id, 0, ent_now(en));
-	if (in->in.state == CLOUD_GONE) {
+	if (in->info.state == CLOUD_GONE) {
 		cds_list_del(&in->node);
 		free(in);
 		return;
 	}
-	if (in->in.state == CLOUD_LEAVING && !in->end_ms)
+	if (in->info.state == CLOUD_LEAVING && !in->reclaim_ms)
 		start_rescue(en, in,
-			     ent_now(en) + (in->in.end_in_ms > 0
-						    ? in->in.end_in_ms
+			     ent_now(en) + (in->info.end_in_ms > 0
+						    ? in->info.end_in_ms
 						    : 0));
 }
 
-/* A notice heard twice, or for one already gone, changes nothing. */
-static void act_on_notice(struct entry *en, const char *name, const char *body)
+/* A repeated notice, or one for a gone instance, has no effect. */
+static void apply_notice(struct entry *en, const char *name, const char *body)
 {
 	const uint64_t id = hsh_str(name + strlen("notice/"), 0);
 	JSN_AUTO *o = jsn_parse(body, strlen(body));
@@ -678,12 +688,12 @@
 	struct ent_inst *in = find_inst(en, id, false);
 	const int64_t left = end_wall - clk_wall_ms(en->clk);
 
-	if (!in || in->end_ms || in->in.state == CLOUD_GONE || left <= 0)
+	if (!in || in->reclaim_ms || in->info.state == CLOUD_GONE || left <= 0)
 		return;
 	start_rescue(en, in, ent_now(en) + left);
 }
 
-void ent_act_on_item(struct entry *en, const char *name)
+void ent_apply_item(struct entry *en, const char *name)
 {
 	uint64_t rev = 0;
 	MEM_AUTO char *body = item_body(en, name, &rev);
@@ -691,11 +701,11 @@
 	if (!body)
 		return;
 	if (!strncmp(name, "doc/", 4))
-		act_on_doc(en, name, body, rev);
+		apply_doc(en, name, body, rev);
 	else if (!strncmp(name, "view/", 5))
-		act_on_view(en, body);
+		apply_view(en, body);
 	else if (!strncmp(name, "inst/", 5))
-		act_on_instance(en, name, body);
+		apply_instance(en, name, body);
 	else if (!strncmp(name, "notice/", 7))
-		act_on_notice(en, name, body);
+		apply_notice(en, name, body);
 }
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -7,16 +7,17 @@
 #include "base/hsh.h"
 #include "entry/entry_internal.h"
 
-/* Threads that call peers: so many can hang without slowing the rest. */
+/* Threads that call peers: up to this many peers can hang without delaying
+ * calls to the others. */
 #define LINK_THREADS 24
 
-#define RING_CAP 8192
+#define RING_CAP 8192 /* queued pointers */
 
-/* Votes at a judge: the target needs 54,000 (docs/CAPACITY.md). */
+/* Votes kept as a judge: the target needs 54,000 (docs/CAPACITY.md). */
 #define MAX_VOTES 262144
 
-/* Streams: a run per request, state polls, and room for both to overlap. */
-#define MUX_PART 3
+/* For its run and load reports, with a margin for overlaps of both. */
+#define MUX_STREAMS_PER_REQUEST 3
 
 /* ---- Metrics ---- */
 
@@ -121,11 +122,11 @@
 	size_t i;
 
 	en->wake = ring_create(64);
-	en->arrived = ring_create(RING_CAP);
+	en->changed_items = ring_create(RING_CAP);
 	en->commands = ring_create(RING_CAP);
 	en->moves = ring_create(1024);
 	en->copies = ring_create(RING_CAP);
-	CDS_INIT_LIST_HEAD(&en->fresh);
+	CDS_INIT_LIST_HEAD(&en->recent_items);
 	CDS_INIT_LIST_HEAD(&en->open);
 	for (i = 0; i < ENT_REQ_BUCKETS; i++)
 		CDS_INIT_LIST_HEAD(&en->table[i]);
@@ -141,7 +142,8 @@
 	en->hcl = hcl_create();
 	en->kv = kv_etcd_create(en->hcl, en->set.key_value);
 	en->links = links_create(LINK_THREADS);
-	en->mux = mux_create((size_t)en->set.in_flight * MUX_PART + 128);
+	en->mux = mux_create(
+		(size_t)en->set.in_flight * MUX_STREAMS_PER_REQUEST + 128);
 	en->swim = swim_create(&en->self, &cfg, rnd_secret());
 	en->spread = spread_create();
 	en->judge = judge_create(en->self.id, en->set.key_life_ms, MAX_VOTES);
@@ -173,7 +175,7 @@
 	struct entry *en = mem_new(sizeof(*en));
 	struct hsv_config cfg;
 
-	/* A caller or peer that goes away must not end the process. */
+	/* Writing to a closed connection must not end the process. */
 	signal(SIGPIPE, SIG_IGN);
 	en->set = *s;
 	en->clk = clk_real();
@@ -207,13 +209,14 @@
 	return en->self.peer;
 }
 
-/* ---- Leaving ---- */
+/* ---- Draining ---- */
 
 /*
- * The bound of the drain: what is still open goes to the holder, which takes
- * it over; the caller is told to reconnect at an event's end.
+ * At the end of the drain: hands an open model request over to its holder, if
+ * it has one, which takes it over. The client is told to reconnect, between two
+ * events.
  */
-static void release(struct ent_req *rq, void *arg)
+static void release_to_holder(struct ent_req *rq, void *arg)
 {
 	struct entry *en = arg;
 
@@ -221,27 +224,27 @@
 	if (rq->role == ENT_OWNER && rq->flow.phase != FLOW_DONE &&
 	    !rq->plain && *rq->holder) {
 		rq->released = true;
-		ent_copy_soon(rq);
+		ent_queue_copy(rq);
 		mux_cancel(en->mux, rq->stream);
 		pthread_cond_broadcast(&rq->changed);
 	}
 	pthread_mutex_unlock(&rq->lock);
 }
 
-static void copy_final(struct ent_req *rq, void *arg)
+static void queue_final_copy(struct ent_req *rq, void *arg)
 {
 	(void)arg;
 	pthread_mutex_lock(&rq->lock);
 	if (rq->role == ENT_OWNER && rq->flow.phase == FLOW_DONE &&
-	    !rq->final_copied)
-		ent_copy_soon(rq);
+	    !rq->end_copied)
+		ent_queue_copy(rq);
 	pthread_mutex_unlock(&rq->lock);
 }
 
 static void wait_until(struct entry *en, int64_t until, bool for_idle)
 {
 	while (ent_now(en) < until && !atomic_load(&en->stopping)) {
-		if (for_idle && !atomic_load(&en->running) &&
+		if (for_idle && !atomic_load(&en->nr_open) &&
 		    !atomic_load(&en->in_flight))
 			return;
 		clk_sleep_ms(20);
@@ -253,15 +256,15 @@
 	struct entry *en = arg;
 	const int64_t start = ent_now(en);
 
-	/* Callers may come for as long as they may keep their list. */
+	/* Clients may use a cached list that has this entry. */
 	wait_until(en, start + en->set.entry_list_ms, false);
 	wait_until(en, start + en->set.drain_ms, true);
 	atomic_store(&en->releasing, true);
-	ent_req_each(en, copy_final, en);
-	ent_req_each_open(en, release, en);
+	ent_req_each(en, queue_final_copy, en);
+	ent_req_each_open(en, release_to_holder, en);
 	wait_until(en, ent_now(en) + 2000, true);
-	/* Votes go last: until now this entry still judged. */
-	ent_hand_on_votes(en);
+	/* Last, since this entry votes as a judge until then. */
+	ent_transfer_votes(en);
 	clk_sleep_ms(2 * en->set.copy_ms);
 	atomic_store(&en->drained, true);
 	log_line(LOG_LEVEL_INFO, "drain", "drained ms=%lld",
@@ -290,7 +293,7 @@
 
 /* ---- Stopping ---- */
 
-static void close_one(struct ent_req *rq, void *arg)
+static void end_request(struct ent_req *rq, void *arg)
 {
 	(void)arg;
 	pthread_mutex_lock(&rq->lock);
@@ -298,7 +301,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-static void forget(struct ent_req *rq, void *arg)
+static void remove_request(struct ent_req *rq, void *arg)
 {
 	ent_req_remove(arg, rq);
 }
@@ -310,7 +313,7 @@
 
 	ent_member_free(en);
 
-	while ((p = ring_pop(en->arrived, 0)))
+	while ((p = ring_pop(en->changed_items, 0)))
 		free(p);
 	while ((c = ring_pop(en->commands, 0))) {
 		if (c->rq)
@@ -320,7 +323,7 @@
 	while ((p = ring_pop(en->copies, 0)))
 		ent_req_put(p);
 	ring_free(en->wake);
-	ring_free(en->arrived);
+	ring_free(en->changed_items);
 	ring_free(en->commands);
 	ring_free(en->moves);
 	ring_free(en->copies);
@@ -340,8 +343,8 @@
 	pthread_join(en->member_thread, NULL);
 	mux_free(en->mux);
 	links_free(en->links);
-	ent_req_each_open(en, close_one, en);
-	ent_req_each(en, forget, en);
+	ent_req_each_open(en, end_request, en);
+	ent_req_each(en, remove_request, en);
 	free_rings(en);
 	ent_state_free(en);
 	judge_free(en->judge);
