--- a/lib/entry/ent_admit.c
+++ b/lib/entry/ent_admit.c
@@ -1,6 +1,6 @@
 /*
- * Admission, and the queue of what waits for room. The choices are those of
- * admit and wfq.
+ * Admission of requests, and the queue of those that wait for room at an
+ * endpoint. The decisions are made by admit and wfq.
  */
 #include "entry/entry_internal.h"
 
@@ -11,25 +11,30 @@
 #include "base/pub.h"
 
 /*
- * A request not yet begun may wait this many times the first-token target:
- * interactive work that would miss it is better told at once, batch work has
- * time (docs/design/limits.md has both measured).
+ * Maximum wait of a request for its start, as a multiple of the model's target
+ * for the time to first token. An interactive request that would miss the
+ * target is refused at once; a batch request can wait longer. Both were
+ * measured, see docs/design/limits.md.
  */
-#define WAIT_INTERACTIVE 1
-#define WAIT_BATCH 8
+#define MAX_WAIT_FACTOR_INTERACTIVE 1
+#define MAX_WAIT_FACTOR_BATCH 8
 
-/* Interactive accounts weigh double in the queue. */
-#define INTERACTIVE_WEIGHT 2.0
+/* Factor on the queue weight of interactive requests. */
+#define INTERACTIVE_WEIGHT_FACTOR 2.0
 
-/* Prompt tokens that cost as much as one generated one: they are read in
- * parallel, about this many times faster. */
-#define PROMPT_COST 8.0
+/*
+ * Number of prompt tokens that cost as much as one generated token. Prefill is
+ * parallel and about this many times faster than decoding.
+ */
+#define PROMPT_TOKENS_PER_GENERATED 8.0
 
 /* ---- Admission ---- */
 
 /*
- * How long the queue would hold a new request. The followed endpoints stand
- * for all; the other entries have their share of them.
+ * Estimates how long the new request `rq` would be queued, in ms. The
+ * throughput of the tracked subset of endpoints is extrapolated to all
+ * endpoints, and `entries` entries are assumed to use equal parts of it. The
+ * model's lock is held.
  */
 static double queue_wait_ms(const struct ent_req *rq, size_t entries)
 {
@@ -50,12 +55,14 @@
 	return rate > 0 ? ahead / (rate / (double)entries) * 1000.0 : 0;
 }
 
-/* What the request is to the queue. */
-static void fill_item(struct ent_req *rq)
+/* Sets the flow, weight and cost by which the request is queued. */
+static void fill_queue_item(struct ent_req *rq)
 {
 	rq->item.flow = hsh_str(rq->account, 0);
-	rq->item.weight = rq->weight * (rq->batch ? 1.0 : INTERACTIVE_WEIGHT);
-	rq->item.cost = rq->prompt_tokens / PROMPT_COST + rq->max_tokens;
+	rq->item.weight =
+		rq->weight * (rq->batch ? 1.0 : INTERACTIVE_WEIGHT_FACTOR);
+	rq->item.cost = rq->prompt_tokens / PROMPT_TOKENS_PER_GENERATED +
+			rq->max_tokens;
 	rq->item.batch = rq->batch;
 }
 
@@ -69,8 +76,9 @@
 	return n ? n : 1;
 }
 
-static void fill_facts(struct entry *en, struct ent_req *rq,
-		       const struct route_choice *c, struct admit_facts *f)
+static void fill_admit_facts(struct entry *en, struct ent_req *rq,
+			     const struct route_choice *c,
+			     struct admit_facts *f)
 {
 	const size_t entries = live_entries(en);
 
@@ -85,7 +93,8 @@
 	f->has_room = c->has_room;
 	f->predicted_ms = c->score_ms;
 	pthread_mutex_lock(&rq->mod->lock);
-	f->wait_limit_ms = (rq->batch ? WAIT_BATCH : WAIT_INTERACTIVE) *
+	f->wait_limit_ms = (rq->batch ? MAX_WAIT_FACTOR_BATCH
+				      : MAX_WAIT_FACTOR_INTERACTIVE) *
 			   rq->mod->first_token_ms;
 	f->queued = wfq_count(rq->mod->queue);
 	f->queue_wait_ms = c->has_room ? 0 : queue_wait_ms(rq, entries);
@@ -95,16 +104,16 @@
 		f->wait_limit_ms = rq->flow.deadline_ms - ent_now(en);
 }
 
-/* Only looks: where would it go, and when would it start? */
-static struct route_choice look(struct ent_req *rq)
+/* Returns the choice that routing would make now, without reserving a slot. */
+static struct route_choice preview_route(struct ent_req *rq)
 {
 	struct ent_model *m = rq->mod;
 	struct route_choice c;
-	struct route_query ask;
+	struct route_query query;
 
 	pthread_mutex_lock(&m->lock);
-	ent_fill_ask(rq, &ask);
-	c = route_choose(m->table, m->prefix, &ask, &m->rnd, ent_now(rq->en),
+	ent_fill_ask(rq, &query);
+	c = route_choose(m->table, m->prefix, &query, &m->rnd, ent_now(rq->en),
 			 NULL, NULL);
 	pthread_mutex_unlock(&m->lock);
 	return c;
@@ -120,21 +129,21 @@
 	rq->queued = ok;
 	pthread_mutex_unlock(&rq->mod->lock);
 	if (ok)
-		ent_req_get(rq); /* the queue's */
+		ent_req_get(rq); /* reference of the queue */
 	return ok;
 }
 
 struct admit_result ent_admit(struct entry *en, struct ent_req *rq)
 {
 	const int64_t now = ent_now(en);
-	struct route_choice c = look(rq);
+	struct route_choice c = preview_route(rq);
 	struct admit_result r;
 	struct admit_facts f;
 
 	ent_poll_for_request(en, rq->mod);
-	fill_item(rq);
-	fill_facts(en, rq, &c, &f);
-	/* The share is taken last, and only if nothing else refuses. */
+	fill_queue_item(rq);
+	fill_admit_facts(en, rq, &c, &f);
+	/* Takes from the account's share only if no other check refuses. */
 	f.share_ok = true;
 	r = admit_decide(&f);
 	if (r.verdict != ADMIT_REFUSE) {
@@ -159,12 +168,12 @@
 	ent_req_open(rq);
 	atomic_fetch_add(&rq->acct->in_flight, 1);
 	pthread_mutex_lock(&rq->lock);
-	rq->first_wait_ms = now + WAIT_BATCH * f.wait_limit_ms;
+	rq->first_wait_ms = now + MAX_WAIT_FACTOR_BATCH * f.wait_limit_ms;
 	if (r.verdict == ADMIT_GO) {
 		ent_route_and_call(rq);
 	} else if (!enqueue(rq,
 			    now + f.wait_limit_ms - (int64_t)f.predicted_ms)) {
-		/* Past that its first token would come too late anyway. */
+		/* After that time the first token would be late anyway. */
 		ent_give_up(rq, "queue-full");
 	} else {
 		ent_req_log(rq, "queue depth=%zu wait_ms=%.0f", f.queued,
@@ -202,15 +211,18 @@
 	}
 }
 
-/* A request shaped like a small one: is there room for anything at all? */
+/*
+ * True if requests are queued and an endpoint has room for at least a small
+ * one (64 prompt tokens, 64 to generate).
+ */
 static bool has_room(struct entry *en, struct ent_model *m)
 {
-	struct route_query ask = { .max_tokens = 64, .prompt_tokens = 64 };
+	struct route_query query = { .max_tokens = 64, .prompt_tokens = 64 };
 	bool room;
 
 	pthread_mutex_lock(&m->lock);
 	room = wfq_count(m->queue) > 0 &&
-	       route_choose(m->table, m->prefix, &ask, &m->rnd, ent_now(en),
+	       route_choose(m->table, m->prefix, &query, &m->rnd, ent_now(en),
 			    NULL, NULL)
 		       .has_room;
 	pthread_mutex_unlock(&m->lock);
--- a/lib/entry/ent_dispatch.c
+++ b/lib/entry/ent_dispatch.c
@@ -1,13 +1,15 @@
 /*
- * The dispatch thread: what is due now, the queues, load reports, deadlines.
+ * The dispatch thread: runs commands that are due, dispatches queued requests,
+ * polls endpoints for their load and checks deadlines.
  */
 #include "entry/entry_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* How often models are looked over for endpoints to ask for their load. */
-#define POLL_MS 250
+/* Interval of ent_poll_model for each model. */
+#define POLL_INTERVAL_MS 250
+/* Maximum wait for a command, and so the interval of the dispatch loop. */
 #define TICK_MS 20
 
 /* ---- The dispatch thread ---- */
@@ -27,7 +29,10 @@
 		ent_req_get(rq);
 	if (ring_push(en->commands, c))
 		return;
-	/* Waking is a hint. A route that is lost is found by the sweep. */
+	/*
+	 * A lost wake-up does no harm. A request whose route command is lost
+	 * is found by the sweep over open requests, at its deadline.
+	 */
 	if (kind != ENT_CMD_WAKE)
 		ent_alarm(en, "dispatch-ring-full", rq ? rq->key : "rescue");
 	if (rq)
@@ -48,7 +53,7 @@
 	free(c);
 }
 
-static void run_due(struct entry *en, struct cds_list_head *waiting)
+static void run_due_commands(struct entry *en, struct cds_list_head *waiting)
 {
 	const int64_t now = ent_now(en);
 	struct ent_command *c, *tmp;
@@ -61,8 +66,8 @@
 	}
 }
 
-static void each_model(struct entry *en,
-		       void (*fn)(struct entry *en, struct ent_model *m))
+static void for_each_model(struct entry *en,
+			   void (*fn)(struct entry *en, struct ent_model *m))
 {
 	MEM_AUTO struct ent_model **all = NULL;
 	struct ent_model *m;
@@ -75,7 +80,7 @@
 	cds_list_for_each_entry(m, &en->models, node)
 		all[i++] = m;
 	pthread_mutex_unlock(&en->list_lock);
-	/* Models live as long as the process, so the pointers stay good. */
+	/* Models are never freed before the process ends. */
 	for (i = 0; i < n; i++)
 		fn(en, all[i]);
 }
@@ -105,7 +110,7 @@
 	struct entry *en = arg;
 	struct cds_list_head waiting;
 	struct ent_command *c, *tmp;
-	int64_t polled = 0, swept = 0;
+	int64_t last_poll_ms = 0, last_sweep_ms = 0;
 
 	CDS_INIT_LIST_HEAD(&waiting);
 	while (!atomic_load(&en->stopping)) {
@@ -114,18 +119,18 @@
 		c = ring_pop(en->commands, TICK_MS);
 		for (; c; c = ring_pop(en->commands, 0))
 			cds_list_add_tail(&c->node, &waiting);
-		run_due(en, &waiting);
-		each_model(en, ent_drain_queue);
+		run_due_commands(en, &waiting);
+		for_each_model(en, ent_drain_queue);
 		now = ent_now(en);
-		if (now - polled >= POLL_MS) {
-			polled = now;
-			each_model(en, ent_poll_model);
+		if (now - last_poll_ms >= POLL_INTERVAL_MS) {
+			last_poll_ms = now;
+			for_each_model(en, ent_poll_model);
 		}
-		if (now - swept >= 1000) {
-			swept = now;
+		if (now - last_sweep_ms >= 1000) {
+			last_sweep_ms = now;
 			ent_req_each_open(en, check_deadline, en);
 			met_set(en->m.queued, 0);
-			each_model(en, count_queued);
+			for_each_model(en, count_queued);
 		}
 	}
 	cds_list_for_each_entry_safe(c, tmp, &waiting, node) {
--- a/lib/entry/ent_feed.c
+++ b/lib/entry/ent_feed.c
@@ -1,26 +1,31 @@
 /*
- * Feeds: what there is of an answer, from this entry or from another.
+ * Feeds: sources of the tokens and the outcome of a request, either in this
+ * entry or fetched from the entry that owns it.
  */
 #include "entry/ent_answer.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Poll of another entry that runs the request. */
-#define FETCH_GAP_MS 20
+/* Interval of fetches from the entry that owns the request. */
+#define FETCH_INTERVAL_MS 20
 
-/* A worker looks up from an idle answer this often. */
-#define WAIT_SLICE_MS 500
+/* Maximum wait for new tokens of a local request before the feed returns. */
+#define LOCAL_WAIT_MS 500
 
-/* One failed round over owner and judges; then the copy here goes on. */
-#define LOCAL_AFTER_MS 50
+/*
+ * Time without an owner after which the copy in this entry is taken over: a
+ * first failed round over the owner and the judges does not suffice.
+ */
+#define LOCAL_TAKEOVER_MS 50
 
-/* How long an answer of a lost entry is looked for. */
-#define LOCATE_MS 8000
+/* Time without an owner after which the request is reported as lost. */
+#define LOCATE_TIMEOUT_MS 8000
 
-#define FETCH_MS 800
+/* Timeout of one fetch call. */
+#define FETCH_TIMEOUT_MS 800
 
-/* ---- Where an answer is read from: here, or another entry ---- */
+/* ---- Local and remote feeds ---- */
 
 void ent_free_batch(struct ent_batch *b)
 {
@@ -56,7 +61,7 @@
 	}
 }
 
-static bool has_news(const struct ent_req *rq, uint32_t gen, uint32_t offset)
+static bool has_update(const struct ent_req *rq, uint32_t gen, uint32_t offset)
 {
 	return rq->flow.phase == FLOW_DONE || rq->flow.tokens > offset ||
 	       rq->released || !flow_can_continue(&rq->flow, gen, offset);
@@ -66,16 +71,16 @@
 		       struct ent_batch *out)
 {
 	struct ent_req *rq = ((struct ent_local_feed *)f)->rq;
-	const struct timespec until = clk_deadline(WAIT_SLICE_MS);
+	const struct timespec until = clk_deadline(LOCAL_WAIT_MS);
 
 	memset(out, 0, sizeof(*out));
 	pthread_mutex_lock(&rq->lock);
-	while (!has_news(rq, gen, offset)) {
+	while (!has_update(rq, gen, offset)) {
 		if (pthread_cond_timedwait(&rq->changed, &rq->lock, &until))
 			break;
 	}
 	fill_batch(rq, gen, offset, out);
-	/* What was handed to another entry goes on there. */
+	/* A request handed over to another entry continues there. */
 	out->lost = rq->released && rq->flow.phase != FLOW_DONE;
 	pthread_mutex_unlock(&rq->lock);
 }
@@ -96,12 +101,13 @@
 	a->from = offset;
 	a->owner_lost = lost;
 	c = ent_call(address, PEER_FETCH, (xdrproc_t)xdr_peer_fetch_args, a,
-		     (xdrproc_t)xdr_peer_fetch_reply, sizeof(*out), FETCH_MS);
+		     (xdrproc_t)xdr_peer_fetch_reply, sizeof(*out),
+		     FETCH_TIMEOUT_MS);
 	return !links_call(r->feed.en->links, &c, out, &e);
 }
 
-/* Moves the strings out of the reply, which is then freed. */
-static void take_reply(peer_fetch_reply *p, struct ent_batch *out)
+/* Fills `out`, with strings moved out of the reply. The caller frees `p`. */
+static void fill_from_reply(peer_fetch_reply *p, struct ent_batch *out)
 {
 	u_int i;
 
@@ -129,8 +135,11 @@
 		 sizeof(out->result_type));
 }
 
-/* Takes over the copy that this entry holds, if it does. */
-static bool take_local(struct ent_remote_feed *r)
+/*
+ * Takes over the request if this entry holds its copy. Returns true if this
+ * entry now owns it or it has ended.
+ */
+static bool take_over_local_copy(struct ent_remote_feed *r)
 {
 	struct ent_req *rq = ent_req_find(r->feed.en, r->key);
 	bool owned;
@@ -151,21 +160,23 @@
 	return false;
 }
 
-/* Who is asked about a request, and what came of it. */
-struct search {
-	char where[5][SET_ADDR_MAX];
+/* Entries to query for a request, and whether its winner replied. */
+struct owner_search {
+	char addresses[5][SET_ADDR_MAX];
 	size_t nr;
-	bool winner_first; /* the first one is the winner of the claim */
-	bool winner_answers;
+	bool winner_first; /* the first address is the claim's winner's */
+	bool winner_replied;
 };
 
 /*
- * Asks all in turn. With `owner_lost` the one that holds the copy takes over,
- * unless the winner answers: it is yet to begin then.
+ * Queries the entries in order until one owns the request or knows its outcome,
+ * and fills `out` from its reply. `owner_lost` makes the holder of the copy
+ * take over. It is not sent to the winner: one that replies without owning the
+ * request has yet to begin it.
  */
-static bool ask_all(struct ent_remote_feed *r, struct search *s,
-		    bool owner_lost, uint32_t gen, uint32_t offset,
-		    struct ent_batch *out)
+static bool query_entries(struct ent_remote_feed *r, struct owner_search *s,
+			  bool owner_lost, uint32_t gen, uint32_t offset,
+			  struct ent_batch *out)
 {
 	peer_fetch_reply p;
 	size_t i;
@@ -174,14 +185,15 @@
 		const bool is_winner = s->winner_first && i == 0;
 		bool found;
 
-		if (!fetch(r, s->where[i], owner_lost && !is_winner, gen,
+		if (!fetch(r, s->addresses[i], owner_lost && !is_winner, gen,
 			   offset, &p))
 			continue;
-		s->winner_answers |= is_winner;
+		s->winner_replied |= is_winner;
 		found = p.found && (p.owned || p.outcome != FLOW_OPEN);
 		if (found) {
-			str_copy(r->address, s->where[i], sizeof(r->address));
-			take_reply(&p, out);
+			str_copy(r->address, s->addresses[i],
+				 sizeof(r->address));
+			fill_from_reply(&p, out);
 		}
 		xdr_free((xdrproc_t)xdr_peer_fetch_reply, &p);
 		if (found)
@@ -191,24 +203,24 @@
 }
 
 /*
- * Looks for the request at the entry that won the claim and at the key's
- * judges. Only if none of them runs it or knows its end is the holder of the
- * copy asked to take over: the winner may be dead and a successor alive, which
- * the holder that is asked first need not know. Without a known winner nobody
- * takes over.
+ * Searches for the owner of the request at the winner of the claim and at the
+ * key's judges. The holder of the copy is asked to take over only if none of
+ * them owns the request or knows its outcome: the winner may be dead and its
+ * successor alive, which a holder that is queried first need not know. There is
+ * no takeover while the winner is unknown or replies.
  */
-static bool look_for(struct ent_remote_feed *r, uint32_t gen, uint32_t offset,
-		     struct ent_batch *out)
+static bool find_owner(struct ent_remote_feed *r, uint32_t gen, uint32_t offset,
+		       struct ent_batch *out)
 {
-	struct search s = { .nr = 0 };
+	struct owner_search s = { .nr = 0 };
 
-	s.nr = ent_locate(r->feed.en, r->view, r->slot, r->winner, s.where,
+	s.nr = ent_locate(r->feed.en, r->view, r->slot, r->winner, s.addresses,
 			  &s.winner_first);
-	if (ask_all(r, &s, false, gen, offset, out))
+	if (query_entries(r, &s, false, gen, offset, out))
 		return true;
-	if (!r->winner || s.winner_answers)
+	if (!r->winner || s.winner_replied)
 		return false;
-	return ask_all(r, &s, true, gen, offset, out);
+	return query_entries(r, &s, true, gen, offset, out);
 }
 
 bool ent_find_remote(struct entry *en, const struct ent_req *rq)
@@ -216,34 +228,35 @@
 	struct ent_remote_feed f = { .feed = { &ent_remote_vt, en },
 				     .view = rq->slot_view,
 				     .slot = rq->slot };
-	struct ent_batch found = { .nr = 0 };
-	bool there;
+	struct ent_batch batch = { .nr = 0 };
+	bool found;
 
 	str_copy(f.key, rq->key, sizeof(f.key));
 	str_copy(f.account, rq->account, sizeof(f.account));
-	there = look_for(&f, 0, 0, &found);
-	ent_free_batch(&found);
-	return there;
+	found = find_owner(&f, 0, 0, &batch);
+	ent_free_batch(&batch);
+	return found;
 }
 
 static void remote_next(struct ent_feed *f, uint32_t gen, uint32_t offset,
 			struct ent_batch *out)
 {
 	struct ent_remote_feed *r = (struct ent_remote_feed *)f;
-	struct ent_local_feed here = { { &ent_local_vt, f->en }, r->local };
+	struct ent_local_feed local_feed = { { &ent_local_vt, f->en },
+					     r->local };
 	const int64_t now = ent_now(f->en);
 	peer_fetch_reply p;
 
 	memset(out, 0, sizeof(*out));
 	if (r->local) {
-		local_next(&here.feed, gen, offset, out);
+		local_next(&local_feed.feed, gen, offset, out);
 		return;
 	}
 	if (r->seen)
-		clk_sleep_ms(FETCH_GAP_MS);
+		clk_sleep_ms(FETCH_INTERVAL_MS);
 	if (*r->address && fetch(r, r->address, false, gen, offset, &p)) {
 		if (p.found && (p.owned || p.outcome != FLOW_OPEN)) {
-			take_reply(&p, out);
+			fill_from_reply(&p, out);
 			xdr_free((xdrproc_t)xdr_peer_fetch_reply, &p);
 			r->lost_since = 0;
 			return;
@@ -251,23 +264,24 @@
 		xdr_free((xdrproc_t)xdr_peer_fetch_reply, &p);
 	}
 	r->address[0] = '\0';
-	if (look_for(r, gen, offset, out)) {
+	if (find_owner(r, gen, offset, out)) {
 		r->seen = true;
 		r->lost_since = 0;
 		return;
 	}
 	if (!r->lost_since)
 		r->lost_since = now;
-	/* The owner cannot be reached and this entry may hold the copy. */
-	if (now - r->lost_since > LOCAL_AFTER_MS && take_local(r)) {
-		here.rq = r->local;
-		local_next(&here.feed, gen, offset, out);
+	/* The owner is unreachable, and this entry may hold the copy. */
+	if (now - r->lost_since > LOCAL_TAKEOVER_MS &&
+	    take_over_local_copy(r)) {
+		local_feed.rq = r->local;
+		local_next(&local_feed.feed, gen, offset, out);
 		return;
 	}
-	out->lost = now - r->lost_since > LOCATE_MS;
+	out->lost = now - r->lost_since > LOCATE_TIMEOUT_MS;
 	out->from = offset;
 	out->gen = gen;
-	clk_sleep_ms(5 * FETCH_GAP_MS);
+	clk_sleep_ms(5 * FETCH_INTERVAL_MS);
 }
 
 const struct ent_feed_vtable ent_remote_vt = { remote_next };
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -1,7 +1,8 @@
 /*
- * What callers are answered. A worker stays with its caller from the first
- * byte to the last; the run itself goes on without it, so a caller that
- * vanishes and comes back, here or elsewhere, gets the rest.
+ * The HTTP API for clients. A worker thread serves one connection from the
+ * first byte of the request to the last byte of the response. The run does not
+ * depend on it: a client that reconnects to this entry or another one receives
+ * the rest of the response.
  */
 #include "entry/ent_answer.h"
 
@@ -13,12 +14,15 @@
 #include "base/jsn.h"
 #include "base/pub.h"
 
-/* Entries named to a caller: enough to survive two losses. */
-#define LISTED 4
+/* Entries listed to a client: enough for it to survive the loss of two. */
+#define MAX_LISTED_ENTRIES 4
 
+/* Characters per token assumed for the estimate of the prompt's tokens. */
 #define CHARS_PER_TOKEN 4
+/* Maximum number of tokens to generate if the client sets none. */
 #define DEFAULT_MAX_TOKENS 256
 
+/* The client account that sent a request, and its limits. */
 struct caller {
 	struct entry *en;
 	struct hsv_request *rq;
@@ -30,20 +34,21 @@
 	double tokens_per_s;
 };
 
-/* ---- Who calls ---- */
+/* ---- Authentication ---- */
 
-static const char *bearer_of(const struct hsv_request *rq)
+static const char *bearer_token(const struct hsv_request *rq)
 {
 	const char *h = hsv_header(rq, "Authorization");
 
 	return !strncmp(h, "Bearer ", 7) ? h + 7 : "";
 }
 
-/* The account of the caller; false with a reply if there is none. */
-static bool identify(struct entry *en, struct hsv_request *rq, struct caller *c)
+/* Sets `c` by the request's key; replies 401 and returns false if unknown. */
+static bool authenticate(struct entry *en, struct hsv_request *rq,
+			 struct caller *c)
 {
 	const struct ent_account_ref *r;
-	const char *bearer = bearer_of(rq);
+	const char *bearer = bearer_token(rq);
 
 	memset(c, 0, sizeof(*c));
 	c->en = en;
@@ -69,25 +74,29 @@
 
 /* ---- GET /v1/entries ---- */
 
-struct listed {
+struct listed_entry {
 	uint64_t weight;
-	bool near;
+	bool same_zone;
 	char http[VIEW_ADDR_MAX];
 	char zone[VIEW_NAME_MAX];
 };
 
-static int by_weight(const void *a, const void *b)
+static int compare_listed(const void *a, const void *b)
 {
-	const struct listed *x = a, *y = b;
+	const struct listed_entry *x = a, *y = b;
 
-	if (x->near != y->near)
-		return x->near ? -1 : 1;
+	if (x->same_zone != y->same_zone)
+		return x->same_zone ? -1 : 1;
 	return x->weight > y->weight ? -1 : x->weight < y->weight;
 }
 
-/* Keeps the best LISTED of all alive entries, one pass over the members. */
+/*
+ * Fills `best` with up to MAX_LISTED_ENTRIES alive entries and returns their
+ * number: those in `zone` first, then by rendezvous weight for the account.
+ * Takes one pass over the members.
+ */
 static size_t list_entries(struct entry *en, const char *account,
-			   const char *zone, struct listed *best)
+			   const char *zone, struct listed_entry *best)
 {
 	const uint64_t key = hsh_str(account, 21);
 	const struct ent_snap *s;
@@ -97,33 +106,34 @@
 	s = ent_snap(en);
 	for (i = 0; i < s->nr_members; i++) {
 		const struct ent_member *m = &s->members[i];
-		struct listed l = { .near = !strcmp(m->who.zone, zone) };
+		struct listed_entry l = { .same_zone =
+						  !strcmp(m->who.zone, zone) };
 
 		if (m->state != SWIM_ALIVE)
 			continue;
 		l.weight = hsh_rendezvous(key, m->who.id);
 		str_copy(l.http, m->who.http, sizeof(l.http));
 		str_copy(l.zone, m->who.zone, sizeof(l.zone));
-		if (n < LISTED)
+		if (n < MAX_LISTED_ENTRIES)
 			best[n++] = l;
-		else if (by_weight(&l, &best[n - 1]) < 0)
+		else if (compare_listed(&l, &best[n - 1]) < 0)
 			best[n - 1] = l;
-		qsort(best, n, sizeof(*best), by_weight);
+		qsort(best, n, sizeof(*best), compare_listed);
 	}
 	pub_read_unlock();
 	return n;
 }
 
-static void get_entries(struct entry *en, struct hsv_request *rq)
+static void handle_entries(struct entry *en, struct hsv_request *rq)
 {
-	struct listed best[LISTED];
+	struct listed_entry best[MAX_LISTED_ENTRIES];
 	BUF_AUTO b = BUF_INIT;
 	char zone[VIEW_NAME_MAX];
 	struct caller c;
 	struct grant g;
 	size_t n, i;
 
-	if (!identify(en, rq, &c))
+	if (!authenticate(en, rq, &c))
 		return;
 	if (!hsv_query(rq, "zone", zone, sizeof(zone)))
 		str_copy(zone, en->self.zone, sizeof(zone));
@@ -147,10 +157,11 @@
 /* ---- Keys ---- */
 
 /*
- * The effective key and the slot of its judges. A caller's key without a
- * grant is taken for repeatable work only: it has no birth, so its judges are
- * those of the present view, and a second submission after a change of views
- * may run again.
+ * Creates the request with its effective key and the slot of the key's judges;
+ * replies and returns false if the key is not valid. `given` is the client's
+ * key, or "". A key without a grant is accepted only if the call is repeatable:
+ * it has no time of issue, so its judges are those of the current view, and a
+ * second submission may run again after a change of view.
  */
 static bool resolve_key(struct caller *c, const char *given, bool repeatable,
 			struct ent_req **out)
@@ -213,14 +224,14 @@
 
 /* ---- Claiming ---- */
 
-static void tell_claim(struct caller *c, enum claim_outcome o)
+static void reply_claim_failed(struct caller *c, enum claim_outcome outcome)
 {
-	if (o == CLAIM_BURNED)
+	if (outcome == CLAIM_BURNED)
 		ent_refuse(
 			c->en, c->rq, 409, "not-run", 0, "Key burned",
 			"several entries claimed the key at once and none can "
 			"run it; take a new key");
-	else if (o == CLAIM_EXPIRED)
+	else if (outcome == CLAIM_EXPIRED)
 		ent_refuse(c->en, c->rq, 410, "unknown", 0, "Key expired",
 			   "whether the key ran cannot be told any more");
 	else
@@ -231,8 +242,10 @@
 }
 
 /*
- * Makes this entry the only one that may run `rq`, or serves what another
- * has. Returns true if it is ours to run and its copy is held.
+ * Claims `rq`. Returns true if this entry won the claim and is the only one
+ * that may run it; the caller then checks that another entry holds the copy.
+ * Otherwise serves the request from the entry that has it, or replies with an
+ * error, and returns false.
  */
 static bool claim_or_join(struct caller *c, struct ent_req *rq,
 			  struct ent_writer *w)
@@ -251,27 +264,27 @@
 			met_inc(en->m.unprotected);
 		return true;
 	}
-	/* Others that joined this entry's attempt must not wait for it. */
+	/* Other connections that joined this attempt must not wait for it. */
 	pthread_mutex_lock(&rq->lock);
 	rq->released = true;
 	pthread_cond_broadcast(&rq->changed);
 	pthread_mutex_unlock(&rq->lock);
 	ent_req_remove(en, rq);
 	/*
-	 * Too few judges may be left to decide a claim while one of them has
-	 * the request: it was claimed before, and is answered all the same.
+	 * Too few judges may be left to decide the claim while one of them has
+	 * the request from an earlier claim: it is served from there.
 	 */
 	if (r.outcome == CLAIM_JOIN)
 		ent_serve_remote(w, rq, r.winner);
 	else if (r.outcome == CLAIM_UNKNOWN && ent_find_remote(en, rq))
 		ent_serve_remote(w, rq, 0);
 	else
-		tell_claim(c, r.outcome);
+		reply_claim_failed(c, r.outcome);
 	return false;
 }
 
-/* A copy in another entry is owed unless there is no other entry at all. */
-static bool copy_missing(struct entry *en, const struct ent_req *rq)
+/* True if no other entry holds a copy although there are other entries. */
+static bool is_copy_missing(struct entry *en, const struct ent_req *rq)
 {
 	size_t members;
 
@@ -299,45 +312,47 @@
 }
 
 /*
- * Common way in: finds the request here, or claims it. Returns true if `rq`
- * is new, claimed and ours; else the caller has its reply.
+ * Finds the request in this entry or claims it. Returns true if `rq` is new and
+ * claimed by this entry, and another entry, if there is one, holds its copy.
+ * Otherwise the client has been sent a response.
  */
-static bool enter(struct caller *c, struct ent_req *rq, struct ent_writer *w)
+static bool find_or_claim(struct caller *c, struct ent_req *rq,
+			  struct ent_writer *w)
 {
 	struct entry *en = c->en;
-	struct ent_req *there = ent_req_add(en, rq);
-	bool ours = false;
+	struct ent_req *existing = ent_req_add(en, rq);
+	bool claimed = false;
 
 	w->key = rq->key;
-	if (there != rq) {
+	if (existing != rq) {
 		enum ent_role role;
 		uint64_t owner;
 
-		pthread_mutex_lock(&there->lock);
-		role = there->role;
-		owner = there->owner;
-		pthread_mutex_unlock(&there->lock);
-		if (strcmp(there->account, rq->account))
+		pthread_mutex_lock(&existing->lock);
+		role = existing->role;
+		owner = existing->owner;
+		pthread_mutex_unlock(&existing->lock);
+		if (strcmp(existing->account, rq->account))
 			ent_not_run(en, c->rq, 403, "Not yours",
 				    "the key belongs to another account");
 		else if (role == ENT_OWNER)
-			ent_serve_local(w, there);
+			ent_serve_local(w, existing);
 		else
 			ent_serve_remote(w, rq, owner);
 	} else if (claim_or_join(c, rq, w)) {
-		ours = true;
-		if (copy_missing(en, rq)) {
+		claimed = true;
+		if (is_copy_missing(en, rq)) {
 			end_not_run(rq, 503);
 			ent_refuse(
 				en, c->rq, 503, "not-run", 500,
 				"No second copy",
 				"no other entry could take the record; it was "
 				"not run");
-			ours = false;
+			claimed = false;
 		}
 	}
-	ent_req_put(there);
-	return ours;
+	ent_req_put(existing);
+	return claimed;
 }
 
 /* ---- POST /v1/completions and /v1/chat/completions ---- */
@@ -345,7 +360,7 @@
 struct parsed {
 	char model[DOC_NAME_MAX];
 	char adapter[DOC_NAME_MAX];
-	char *prompt; /* owned */
+	char *prompt; /* owned by the struct */
 	int64_t max_tokens;
 	bool stream;
 };
@@ -382,7 +397,10 @@
 	return true;
 }
 
-/* What the document says of the model; false with a reply if nothing. */
+/*
+ * Looks the model and adapter up in the document and sets `*deadline_ms`, the
+ * duration allowed for the request. Replies 404 and returns false if unknown.
+ */
 static bool find_model(struct caller *c, const struct parsed *p,
 		       int64_t *deadline_ms)
 {
@@ -429,8 +447,8 @@
 		  ent_now(en) + deadline_ms);
 }
 
-static void tell_refusal(struct caller *c, struct ent_req *rq,
-			 const struct admit_result *a)
+static void reply_refused(struct caller *c, struct ent_req *rq,
+			  const struct admit_result *a)
 {
 	char detail[96];
 
@@ -441,7 +459,8 @@
 		   "Not taken", detail);
 }
 
-static void post_completion(struct entry *en, struct hsv_request *hr, bool chat)
+static void handle_completion(struct entry *en, struct hsv_request *hr,
+			      bool chat)
 {
 	struct ent_writer w = { .en = en, .rq = hr, .chat = chat };
 	int64_t deadline_ms = 0;
@@ -450,7 +469,7 @@
 	struct parsed p;
 	struct caller c;
 
-	if (!identify(en, hr, &c) || !parse_body(&c, chat, &p))
+	if (!authenticate(en, hr, &c) || !parse_body(&c, chat, &p))
 		return;
 	if (!find_model(&c, &p, &deadline_ms) ||
 	    !resolve_key(&c, hsv_header(hr, "Idempotency-Key"), true, &rq)) {
@@ -461,10 +480,10 @@
 	w.stream = p.stream;
 	ent_parse_last_event(hr, &w);
 	prepare_model(&c, rq, &p, chat, deadline_ms);
-	if (enter(&c, rq, &w)) {
+	if (find_or_claim(&c, rq, &w)) {
 		a = ent_admit(en, rq);
 		if (a.verdict == ADMIT_REFUSE)
-			tell_refusal(&c, rq, &a);
+			reply_refused(&c, rq, &a);
 		else
 			ent_serve_local(&w, rq);
 	}
@@ -514,15 +533,16 @@
 		return true;
 	}
 	met_inc(c->en->m.refused[a.reason]);
-	tell_refusal(c, rq, &a);
+	reply_refused(c, rq, &a);
 	return false;
 }
 
-static void call_plain(struct entry *en, struct hsv_request *hr)
+static void handle_plain_call(struct entry *en, struct hsv_request *hr)
 {
-	const char *rest = hr->path + strlen("/v1/services/");
-	const size_t n = strcspn(rest, "/");
-	const char *path = rest[n] ? rest + n : "/";
+	const char *service_path = hr->path + strlen("/v1/services/");
+	const size_t name_len = strcspn(service_path, "/");
+	const char *path = service_path[name_len] ? service_path + name_len
+						  : "/";
 	struct ent_writer w = { .en = en, .rq = hr };
 	char name[DOC_NAME_MAX] = "";
 	struct doc_plain plain;
@@ -530,10 +550,10 @@
 	struct caller c;
 	bool repeatable = false;
 
-	if (!identify(en, hr, &c))
+	if (!authenticate(en, hr, &c))
 		return;
-	if (n < sizeof(name))
-		str_copy(name, rest, n + 1);
+	if (name_len < sizeof(name))
+		str_copy(name, service_path, name_len + 1);
 	if (!find_plain(&c, name, path, &plain, &repeatable) ||
 	    !resolve_key(&c, hsv_header(hr, "Idempotency-Key"), repeatable,
 			 &rq))
@@ -545,7 +565,7 @@
 	rq->acct = ent_account_get(en, c.service, c.account, c.tokens_per_s);
 	rq->body = mem_dup(buf_cstr(&hr->body));
 	flow_init(&rq->flow, rnd_secret(), 0, ent_now(en) + plain.timeout_ms);
-	if (enter(&c, rq, &w) && admit_plain(&c, rq)) {
+	if (find_or_claim(&c, rq, &w) && admit_plain(&c, rq)) {
 		ent_plain_run(en, rq, &plain, hr->method, path, repeatable,
 			      hsv_header(hr, "Content-Type"));
 		ent_serve_local(&w, rq);
@@ -555,16 +575,16 @@
 
 /* ---- GET /v1/requests/KEY ---- */
 
-/* A look at a key by its account: never claims, never runs. */
-static void get_request(struct entry *en, struct hsv_request *hr)
+/* Returns the state or the answer of a request. Neither claims nor runs it. */
+static void handle_get_request(struct entry *en, struct hsv_request *hr)
 {
 	const char *key = hr->path + strlen("/v1/requests/");
 	struct ent_writer w = { .en = en, .rq = hr, .key = key };
-	struct ent_req *rq, *there;
+	struct ent_req *rq, *existing;
 	struct caller c;
 	char mode[8];
 
-	if (!identify(en, hr, &c))
+	if (!authenticate(en, hr, &c))
 		return;
 	if (!grant_has_form(key) && strncmp(key, "raw.", 4)) {
 		hsv_problem(hr, 400, "", "Not a request key", key);
@@ -572,16 +592,16 @@
 	}
 	w.stream = hsv_query(hr, "stream", mode, sizeof(mode));
 	ent_parse_last_event(hr, &w);
-	there = ent_req_find(en, key);
-	if (there && !strcmp(there->account, c.account) &&
-	    there->role == ENT_OWNER) {
-		w.chat = there->chat;
-		ent_serve_local(&w, there);
-		ent_req_put(there);
+	existing = ent_req_find(en, key);
+	if (existing && !strcmp(existing->account, c.account) &&
+	    existing->role == ENT_OWNER) {
+		w.chat = existing->chat;
+		ent_serve_local(&w, existing);
+		ent_req_put(existing);
 		return;
 	}
-	if (there)
-		ent_req_put(there);
+	if (existing)
+		ent_req_put(existing);
 	if (!grant_has_form(key)) {
 		hsv_problem(hr, 404, "", "No such request", key);
 		return;
@@ -593,9 +613,9 @@
 	ent_req_put(rq);
 }
 
-/* ---- The rest ---- */
+/* ---- Health, metrics and dispatch ---- */
 
-static void get_health(struct entry *en, struct hsv_request *rq)
+static void handle_health(struct entry *en, struct hsv_request *rq)
 {
 	if (!atomic_load(&en->ready))
 		hsv_json(rq, 503, "{\"status\":\"not ready\"}\n");
@@ -605,7 +625,7 @@
 		hsv_json(rq, 200, "{\"status\":\"ok\"}\n");
 }
 
-static void get_metrics(struct entry *en, struct hsv_request *rq)
+static void handle_metrics(struct entry *en, struct hsv_request *rq)
 {
 	BUF_AUTO b = BUF_INIT;
 
@@ -613,7 +633,7 @@
 	hsv_reply(rq, 200, "text/plain; version=0.0.4", "", b.data, b.len);
 }
 
-static bool needs_ready(struct entry *en, struct hsv_request *rq)
+static bool check_ready(struct entry *en, struct hsv_request *rq)
 {
 	if (atomic_load(&en->ready))
 		return true;
@@ -624,36 +644,36 @@
 	return false;
 }
 
-static bool is(const struct hsv_request *rq, const char *method,
-	       const char *path)
+static bool matches(const struct hsv_request *rq, const char *method,
+		    const char *path)
 {
 	return !strcmp(rq->method, method) && !strcmp(rq->path, path);
 }
 
-static bool begins(const char *s, const char *prefix)
+static bool has_prefix(const char *s, const char *prefix)
 {
 	return !strncmp(s, prefix, strlen(prefix));
 }
 
 static void dispatch(struct entry *en, struct hsv_request *rq)
 {
-	if (is(rq, "GET", "/healthz"))
-		get_health(en, rq);
-	else if (is(rq, "GET", "/metrics"))
-		get_metrics(en, rq);
-	else if (!needs_ready(en, rq))
+	if (matches(rq, "GET", "/healthz"))
+		handle_health(en, rq);
+	else if (matches(rq, "GET", "/metrics"))
+		handle_metrics(en, rq);
+	else if (!check_ready(en, rq))
 		return;
-	else if (is(rq, "GET", "/v1/entries"))
-		get_entries(en, rq);
-	else if (is(rq, "POST", "/v1/completions"))
-		post_completion(en, rq, false);
-	else if (is(rq, "POST", "/v1/chat/completions"))
-		post_completion(en, rq, true);
-	else if (begins(rq->path, "/v1/services/"))
-		call_plain(en, rq);
-	else if (begins(rq->path, "/v1/requests/") &&
+	else if (matches(rq, "GET", "/v1/entries"))
+		handle_entries(en, rq);
+	else if (matches(rq, "POST", "/v1/completions"))
+		handle_completion(en, rq, false);
+	else if (matches(rq, "POST", "/v1/chat/completions"))
+		handle_completion(en, rq, true);
+	else if (has_prefix(rq->path, "/v1/services/"))
+		handle_plain_call(en, rq);
+	else if (has_prefix(rq->path, "/v1/requests/") &&
 		 !strcmp(rq->method, "GET"))
-		get_request(en, rq);
+		handle_get_request(en, rq);
 }
 
 void ent_http_handle(struct hsv_request *rq, void *arg)
