--- a/lib/entry/ent_member.c
+++ b/lib/entry/ent_member.c
@@ -1,6 +1,6 @@
 /*
- * The member thread: probes of peers, spreading of items, and everything
- * that is done now and then. The decisions are those of swim and spread.
+ * The member thread: probes peers, gossips items and does periodic work. The
+ * decisions are made by swim and spread.
  */
 #include "entry/entry_internal.h"
 
@@ -11,36 +11,44 @@
 #include "base/hsh.h"
 #include "base/jsn.h"
 
+/* Maximum wait for a wake-up, and so the interval of the member loop. */
 #define TICK_MS 50
 #define PROBE_TIMEOUT_MS 1000
+/* Timeout of other calls to peers; some that transfer items get a multiple. */
 #define PEER_TIMEOUT_MS 1000
 
 /*
- * Each new item is offered in two rounds to three peers, and then named on
- * probes for a while, which reaches the few that all offers missed. Three
- * rounds to four peers cost twice the bytes and still needed a repair.
+ * A new item is offered to three peers in each of two rounds, OFFER_INTERVAL_MS
+ * apart. For RECENT_MS its name is also sent with probes, for the few entries
+ * that no offer reached. Three rounds to four peers cost twice the bytes and
+ * still needed a repair by sync.
  */
 #define OFFER_ROUNDS 2
 #define OFFER_PEERS 3
-#define OFFER_GAP_MS 150
+#define OFFER_INTERVAL_MS 150
 #define RECENT_MS 8000
 
-/* Digests differ while news travel; only a lasting difference is repaired. */
-#define SYNC_CALM_MS 10000
-#define SYNC_GAP_MS 5000
+/*
+ * Digests differ while new items spread. A sync starts only if they still
+ * differ SYNC_QUIET_MS after the last new item, and then at most every
+ * SYNC_INTERVAL_MS.
+ */
+#define SYNC_QUIET_MS 10000
+#define SYNC_INTERVAL_MS 5000
 
-/* Deltas on one probe: bounds its size in a storm of changes. */
-#define DELTAS_PER_PROBE 8
+/* Maximum number of deltas in a probe: bounds its size during mass changes. */
+#define MAX_DELTAS_PER_PROBE 8
 
-struct fresh_item {
+/* An item that came into force recently. Under member_lock. */
+struct recent_item {
 	struct cds_list_head node;
 	char name[SPREAD_NAME_MAX];
-	unsigned rounds;
+	unsigned rounds; /* offers left */
 	int64_t next_ms;
-	int64_t since_ms;
+	int64_t since_ms; /* when it came into force */
 };
 
-/* ---- Forms of the wire ---- */
+/* ---- Conversion to and from wire types ---- */
 
 void ent_fill_member(const struct view_member *m, peer_member *p)
 {
@@ -123,9 +131,9 @@
 
 /* ---- Items ---- */
 
-static void note_fresh(struct entry *en, const char *name, int64_t now)
+static void mark_recent(struct entry *en, const char *name, int64_t now)
 {
-	struct fresh_item *f;
+	struct recent_item *f;
 
 	cds_list_for_each_entry(f, &en->fresh, node) {
 		if (!strcmp(f->name, name)) {
@@ -153,7 +161,7 @@
 	v = spread_put(en->spread, name, rev, body, len,
 		       ttl_ms > 0 ? now + ttl_ms : 0);
 	if (v == SPREAD_NEW) {
-		note_fresh(en, name, now);
+		mark_recent(en, name, now);
 		en->last_put_ms = now;
 	}
 	pthread_mutex_unlock(&en->member_lock);
@@ -162,9 +170,9 @@
 		met_inc(en->m.items_new);
 		copy = mem_dup(name);
 		/*
-		 * A full ring means that the member thread is far behind; the
-		 * item is in the table, and the next revision or the sweep at
-		 * the next start finds it. It must not pass unseen.
+		 * A full ring means that the member thread is far behind. The
+		 * item is in the table, but is acted on only with its next
+		 * revision or at the next start, hence the alarm.
 		 */
 		if (!ring_push(en->arrived, copy)) {
 			ent_alarm(en, "items-ring-full", name);
@@ -197,9 +205,9 @@
 	p->body.body_len = (u_int)it->len;
 }
 
-/* Gives the wanted items to a peer. */
-static void give(struct entry *en, const char *address, const peer_name *want,
-		 size_t n)
+/* Sends the items named in `want` to a peer. */
+static void send_items(struct entry *en, const char *address,
+		       const peer_name *want, size_t n)
 {
 	peer_give_args *a = mem_new(sizeof(*a));
 	const int64_t now = ent_now(en);
@@ -225,6 +233,7 @@
 	links_send(en->links, &c);
 }
 
+/* Context of an offer or sync call. */
 struct exchange {
 	struct entry *en;
 	char address[SET_ADDR_MAX];
@@ -236,13 +245,13 @@
 	const peer_offer_reply *r = result;
 
 	if (why == ERR_NONE && r->wanted.wanted_len)
-		give(x->en, x->address, r->wanted.wanted_val,
-		     r->wanted.wanted_len);
+		send_items(x->en, x->address, r->wanted.wanted_val,
+			   r->wanted.wanted_len);
 	free(x);
 }
 
-static void offer(struct entry *en, const char *address,
-		  char names[][SPREAD_NAME_MAX], size_t n)
+static void send_offer(struct entry *en, const char *address,
+		       char names[][SPREAD_NAME_MAX], size_t n)
 {
 	peer_offer_args *a = mem_new(sizeof(*a));
 	struct exchange *x = mem_new(sizeof(*x));
@@ -275,17 +284,20 @@
 		free(x);
 }
 
-/* Names whose next round is due; at most `max` at a time. */
+/*
+ * Returns up to `max` names whose next round is due, and removes entries that
+ * are past RECENT_MS. member_lock is held.
+ */
 static size_t due_offers(struct entry *en, char names[][SPREAD_NAME_MAX],
 			 size_t max, int64_t now)
 {
-	struct fresh_item *f, *tmp;
+	struct recent_item *f, *tmp;
 	size_t n = 0;
 
 	cds_list_for_each_entry_safe(f, tmp, &en->fresh, node) {
 		if (f->rounds && now >= f->next_ms && n < max) {
 			str_copy(names[n++], f->name, SPREAD_NAME_MAX);
-			f->next_ms = now + OFFER_GAP_MS;
+			f->next_ms = now + OFFER_INTERVAL_MS;
 			f->rounds--;
 		}
 		if (f->rounds || now - f->since_ms < RECENT_MS)
@@ -296,7 +308,7 @@
 	return n;
 }
 
-static void offer_fresh(struct entry *en, int64_t now)
+static void send_due_offers(struct entry *en, int64_t now)
 {
 	char names[64][SPREAD_NAME_MAX];
 	struct view_member peers[OFFER_PEERS];
@@ -307,12 +319,12 @@
 	k = n ? swim_pick(en->swim, peers, OFFER_PEERS) : 0;
 	pthread_mutex_unlock(&en->member_lock);
 	for (i = 0; i < k; i++)
-		offer(en, peers[i].peer, names, n);
+		send_offer(en, peers[i].peer, names, n);
 }
 
-/* ---- Repair of a lasting difference ---- */
+/* ---- Sync: repair of a lasting difference ---- */
 
-static void take_items(struct entry *en, const peer_item *items, size_t n)
+static void put_items(struct entry *en, const peer_item *items, size_t n)
 {
 	size_t i;
 
@@ -328,18 +340,18 @@
 	const peer_sync_reply *r = result;
 
 	if (why == ERR_NONE) {
-		take_items(x->en, r->items.items_val, r->items.items_len);
+		put_items(x->en, r->items.items_val, r->items.items_len);
 		if (r->wanted.wanted_len)
-			give(x->en, x->address, r->wanted.wanted_val,
-			     r->wanted.wanted_len);
+			send_items(x->en, x->address, r->wanted.wanted_val,
+				   r->wanted.wanted_len);
 	}
 	free(x);
 }
 
-/* The names of what came in force a moment ago. Lock held. */
+/* Returns the names of the items that came into force recently. Lock held. */
 void ent_recent(struct entry *en, peer_name **out, u_int *len)
 {
-	struct fresh_item *f;
+	struct recent_item *f;
 
 	*out = mem_new(PEER_RECENT * sizeof(**out));
 	*len = 0;
@@ -365,7 +377,7 @@
 	struct pull *p = arg;
 
 	if (why == ERR_NONE)
-		take_items(p->en, r->items.items_val, r->items.items_len);
+		put_items(p->en, r->items.items_val, r->items.items_len);
 	free(p);
 }
 
@@ -406,7 +418,7 @@
 		free(p);
 }
 
-static void add_name(const struct spread_item *it, void *arg)
+static void add_item_name(const struct spread_item *it, void *arg)
 {
 	peer_offer_args *a = arg;
 	peer_name *p = &a->names.names_val[a->names.names_len++];
@@ -416,7 +428,7 @@
 	p->body_hash = it->body_hash;
 }
 
-static peer_offer_args *all_names(struct entry *en)
+static peer_offer_args *list_item_names(struct entry *en)
 {
 	peer_offer_args *a = mem_new(sizeof(*a));
 
@@ -424,7 +436,7 @@
 	pthread_mutex_lock(&en->member_lock);
 	a->names.names_val =
 		mem_new(spread_count(en->spread) * sizeof(peer_name));
-	spread_each(en->spread, add_name, a);
+	spread_each(en->spread, add_item_name, a);
 	pthread_mutex_unlock(&en->member_lock);
 	return a;
 }
@@ -437,7 +449,7 @@
 	x->en = en;
 	str_copy(x->address, address, sizeof(x->address));
 	c = ent_call(address, PEER_SYNC, (xdrproc_t)xdr_peer_offer_args,
-		     all_names(en), (xdrproc_t)xdr_peer_sync_reply,
+		     list_item_names(en), (xdrproc_t)xdr_peer_sync_reply,
 		     sizeof(peer_sync_reply), 3 * PEER_TIMEOUT_MS);
 	c.done = on_sync;
 	c.arg = x;
@@ -447,16 +459,20 @@
 
 /* ---- Probes ---- */
 
+/* Context of a ping call. */
 struct probe {
 	struct entry *en;
 	char address[SET_ADDR_MAX];
-	char vouch_for[SET_ADDR_MAX]; /* who asked for help; "" if nobody */
-	bool joining;
+	char asker[SET_ADDR_MAX]; /* requested an indirect probe, or "" */
+	bool joining;		  /* first contact */
 };
 
-/* What a first contact tells is old news to all others: not passed on. */
+/*
+ * Applies received deltas. Those of a first contact are `known_to_others`
+ * already and not gossiped further. Returns true if a state changed.
+ */
 static bool apply_deltas(struct entry *en, const peer_delta *rows, size_t n,
-			 bool old_news)
+			 bool known_to_others)
 {
 	MEM_AUTO struct swim_delta *d = mem_new(n * sizeof(*d));
 	const size_t k = ent_read_deltas(rows, n, d, n);
@@ -466,13 +482,14 @@
 
 	pthread_mutex_lock(&en->member_lock);
 	for (i = 0; i < k; i++)
-		changed |= old_news ? swim_apply_quietly(en->swim, &d[i], now)
-				    : swim_apply(en->swim, &d[i], now);
+		changed |= known_to_others
+				   ? swim_apply_quietly(en->swim, &d[i], now)
+				   : swim_apply(en->swim, &d[i], now);
 	pthread_mutex_unlock(&en->member_lock);
 	return changed;
 }
 
-static void vouch(struct entry *en, const char *address, uint64_t target)
+static void send_vouch(struct entry *en, const char *address, uint64_t target)
 {
 	peer_vouch_args *a = mem_new(sizeof(*a));
 	struct link_call c;
@@ -484,6 +501,7 @@
 	links_send(en->links, &c);
 }
 
+/* True if a lasting difference to the peer's digest is to be repaired now. */
 static bool wants_sync(struct entry *en, uint64_t digest)
 {
 	const int64_t now = ent_now(en);
@@ -491,9 +509,9 @@
 
 	pthread_mutex_lock(&en->member_lock);
 	differs = digest != spread_digest(en->spread) &&
-		  now - en->last_put_ms > SYNC_CALM_MS;
+		  now - en->last_put_ms > SYNC_QUIET_MS;
 	if (differs)
-		en->last_put_ms = now - SYNC_CALM_MS + SYNC_GAP_MS;
+		en->last_put_ms = now - SYNC_QUIET_MS + SYNC_INTERVAL_MS;
 	pthread_mutex_unlock(&en->member_lock);
 	return differs;
 }
@@ -517,8 +535,8 @@
 	swim_apply(en->swim, &d, ent_now(en));
 	swim_ack(en->swim, d.member.id, ent_now(en));
 	pthread_mutex_unlock(&en->member_lock);
-	if (*p->vouch_for)
-		vouch(en, p->vouch_for, d.member.id);
+	if (*p->asker)
+		send_vouch(en, p->asker, d.member.id);
 	ent_pull_recent(en, p->address, r->recent.recent_val,
 			r->recent.recent_len);
 	if (wants_sync(en, r->digest))
@@ -527,9 +545,9 @@
 }
 
 static void probe(struct entry *en, const struct view_member *target,
-		  const char *vouch_for)
+		  const char *asker)
 {
-	struct swim_delta d[DELTAS_PER_PROBE + 1];
+	struct swim_delta d[MAX_DELTAS_PER_PROBE + 1];
 	peer_ping_args *a = mem_new(sizeof(*a));
 	struct probe *p = mem_new(sizeof(*p));
 	struct link_call c;
@@ -537,17 +555,17 @@
 
 	p->en = en;
 	str_copy(p->address, target->peer, sizeof(p->address));
-	str_copy(p->vouch_for, vouch_for, sizeof(p->vouch_for));
+	str_copy(p->asker, asker, sizeof(p->asker));
 	p->joining = !*target->name;
 	ent_fill_head(en, &a->head);
 	ent_fill_member(&en->self, &a->who);
 	pthread_mutex_lock(&en->member_lock);
 	a->digest = spread_digest(en->spread);
-	/* One that is met for the first time tells us all it knows. */
+	/* On first contact the peer replies with all members it knows. */
 	a->joining = !*target->name;
 	ent_recent(en, &a->recent.recent_val, &a->recent.recent_len);
-	n = swim_take_deltas(en->swim, d, DELTAS_PER_PROBE);
-	/* A suspected one is told, so that it can refute. */
+	n = swim_take_deltas(en->swim, d, MAX_DELTAS_PER_PROBE);
+	/* A suspected target gets its own delta, so that it can refute. */
 	if (swim_lookup(en->swim, target->id, &d[n]) &&
 	    d[n].state == SWIM_SUSPECT)
 		n++;
@@ -562,7 +580,8 @@
 		free(p);
 }
 
-static void ask_help(struct entry *en, const struct swim_action *act)
+static void request_indirect_probes(struct entry *en,
+				    const struct swim_action *act)
 {
 	size_t i;
 
@@ -591,17 +610,17 @@
 	if (a.kind == SWIM_DO_PROBE)
 		probe(en, &a.target, "");
 	else if (a.kind == SWIM_DO_INDIRECT_PROBE)
-		ask_help(en, &a);
+		request_indirect_probes(en, &a);
 }
 
-/* ---- Starting ---- */
+/* ---- Start ---- */
 
 /*
- * Reads what is in force from the key-value service. An entry that starts
- * must not serve an older document than its peers do, so it also asks them;
- * what is higher wins in the table.
+ * Reads the documents in force from the key-value service. An entry that starts
+ * must not serve an older document than its peers, so it also syncs with them;
+ * the table keeps the higher revision.
  */
-static bool read_from_service(struct entry *en)
+static bool load_from_kv(struct entry *en)
 {
 	KV_PAIRS_AUTO pairs = { 0 };
 	struct err e = ERR_INIT;
@@ -623,18 +642,18 @@
 	return true;
 }
 
-static bool read_from_peer(struct entry *en, const char *address)
+static bool load_from_peer(struct entry *en, const char *address)
 {
 	struct link_call c =
 		ent_call(address, PEER_SYNC, (xdrproc_t)xdr_peer_offer_args,
-			 all_names(en), (xdrproc_t)xdr_peer_sync_reply,
+			 list_item_names(en), (xdrproc_t)xdr_peer_sync_reply,
 			 sizeof(peer_sync_reply), PEER_TIMEOUT_MS);
 	struct err e = ERR_INIT;
 	peer_sync_reply r;
 
 	if (links_call(en->links, &c, &r, &e))
 		return false;
-	take_items(en, r.items.items_val, r.items.items_len);
+	put_items(en, r.items.items_val, r.items.items_len);
 	xdr_free((xdrproc_t)xdr_peer_sync_reply, &r);
 	return true;
 }
@@ -647,9 +666,9 @@
 	for (i = 0; i < en->set.nr_seeds; i++) {
 		swim_seed(en->swim, en->set.seeds[i]);
 		if (strcmp(en->set.seeds[i], en->peer_address))
-			peers += read_from_peer(en, en->set.seeds[i]);
+			peers += load_from_peer(en, en->set.seeds[i]);
 	}
-	kv = read_from_service(en);
+	kv = load_from_kv(en);
 	if (kv)
 		en->kv_contact_ms = ent_now(en);
 	log_line(LOG_LEVEL_INFO, "start", "key-value=%s peers=%zu",
@@ -658,8 +677,9 @@
 }
 
 /*
- * Cut off from the service and from all peers, this entry cannot know whether
- * its documents are still in force, so beyond a bound it takes no new work.
+ * An entry that is partitioned from the key-value service and all peers cannot
+ * know whether its documents are still in force. After cut_off_ms without
+ * contact it takes no new work.
  */
 bool ent_cut_off(struct entry *en)
 {
@@ -676,7 +696,7 @@
 
 /* ---- The thread ---- */
 
-static void act_on_arrived(struct entry *en)
+static void apply_changed_items(struct entry *en)
 {
 	char *name;
 
@@ -686,7 +706,7 @@
 	}
 }
 
-static void follow_members(struct entry *en)
+static void handle_member_changes(struct entry *en)
 {
 	uint64_t epoch;
 
@@ -700,7 +720,7 @@
 	ent_take_over_dead(en);
 }
 
-static void every_second(struct entry *en, int64_t now)
+static void run_every_second(struct entry *en, int64_t now)
 {
 	pthread_mutex_lock(&en->judge_lock);
 	judge_expire(en->judge, clk_wall_ms(en->clk));
@@ -717,10 +737,10 @@
 }
 
 /*
- * Starting again and again with neither the service nor a peer: it does not
- * serve, but it keeps asking.
+ * Repeats the bootstrap while neither the key-value service nor a peer has
+ * replied; until then the entry does not serve.
  */
-static void retry_start(struct entry *en)
+static void retry_bootstrap(struct entry *en)
 {
 	if (!atomic_load(&en->ready))
 		ent_start_up(en);
@@ -728,7 +748,7 @@
 
 void ent_member_free(struct entry *en)
 {
-	struct fresh_item *f, *tmp;
+	struct recent_item *f, *tmp;
 
 	cds_list_for_each_entry_safe(f, tmp, &en->fresh, node)
 		free(f);
@@ -737,24 +757,24 @@
 void *ent_member_run(void *arg)
 {
 	struct entry *en = arg;
-	int64_t second = 0, retry = 0;
+	int64_t last_second_ms = 0, last_retry_ms = 0;
 
 	ent_start_up(en);
 	while (!atomic_load(&en->stopping)) {
 		const int64_t now = ent_now(en);
 
 		free(ring_pop(en->wake, TICK_MS));
-		act_on_arrived(en);
+		apply_changed_items(en);
 		tick_swim(en, now);
-		follow_members(en);
-		offer_fresh(en, now);
-		if (now - second >= 1000) {
-			second = now;
-			every_second(en, now);
+		handle_member_changes(en);
+		send_due_offers(en, now);
+		if (now - last_second_ms >= 1000) {
+			last_second_ms = now;
+			run_every_second(en, now);
 		}
-		if (now - retry >= 2000) {
-			retry = now;
-			retry_start(en);
+		if (now - last_retry_ms >= 2000) {
+			last_retry_ms = now;
+			retry_bootstrap(en);
 		}
 	}
 	return NULL;
--- a/lib/entry/ent_plain.c
+++ b/lib/entry/ent_plain.c
@@ -1,7 +1,7 @@
 /*
- * Calls to plain services. What the document does not name as repeatable runs
- * at most once: this entry holds the claim, and calls again only if it is
- * certain that no byte of the call before was sent.
+ * Calls to plain services. A call that the document does not list as repeatable
+ * runs at most once: this entry holds the claim, and retries only if no byte
+ * of the previous attempt can have been sent.
  */
 #include "entry/entry_internal.h"
 
@@ -9,26 +9,35 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define AVOID_MS 1000
-#define MAX_TRIES 4
-#define CONNECT_MS 500
+/* How long an endpoint is not chosen after a failed call. */
+#define AVOID_AFTER_FAILURE_MS 1000
+/* Maximum number of attempts per call. */
+#define MAX_ATTEMPTS 4
+/* Timeout for connecting to an endpoint. */
+#define CONNECT_TIMEOUT_MS 500
 
-struct chosen {
+struct chosen_endpoint {
 	uint64_t id;
 	char name[64];
 	char address[64];
 };
 
-static bool better(const struct ent_pool_member *a,
-		   const struct ent_pool_member *b, const char *zone)
+/* Prefers fewer open calls of this entry, then an endpoint in `zone`. */
+static bool is_better(const struct ent_pool_member *a,
+		      const struct ent_pool_member *b, const char *zone)
 {
 	if (a->own != b->own)
 		return a->own < b->own;
 	return !strcmp(a->zone, zone) && strcmp(b->zone, zone);
 }
 
-/* The least busy of two drawn at random: no herding, and no scan. */
-static bool choose(struct entry *en, struct ent_pool *p, struct chosen *c)
+/*
+ * Chooses the better of the first two usable endpoints after a random start,
+ * which avoids both herding and a scan of the pool. Counts the call as open
+ * until release_endpoint(). Returns false if no endpoint is usable.
+ */
+static bool choose_endpoint(struct entry *en, struct ent_pool *p,
+			    struct chosen_endpoint *c)
 {
 	const int64_t now = ent_now(en);
 	struct ent_pool_member *best = NULL;
@@ -42,7 +51,7 @@
 		if (m->leaving || now < m->avoid_until)
 			continue;
 		seen++;
-		if (!best || better(m, best, en->self.zone))
+		if (!best || is_better(m, best, en->self.zone))
 			best = m;
 	}
 	if (best) {
@@ -54,7 +63,8 @@
 	return best != NULL;
 }
 
-static void release(struct ent_pool *p, uint64_t id, int64_t avoid_until)
+static void release_endpoint(struct ent_pool *p, uint64_t id,
+			     int64_t avoid_until)
 {
 	size_t i;
 
@@ -69,7 +79,8 @@
 	pthread_mutex_unlock(&p->lock);
 }
 
-static void finish(struct ent_req *rq, enum flow_outcome outcome, int status)
+static void end_request(struct ent_req *rq, enum flow_outcome outcome,
+			int status)
 {
 	rq->flow.phase = FLOW_DONE;
 	rq->flow.outcome = outcome;
@@ -77,37 +88,36 @@
 	ent_req_end(rq);
 }
 
-static void take_reply(struct ent_req *rq, struct hcl_reply *r)
+static void store_reply(struct ent_req *rq, struct hcl_reply *r)
 {
 	rq->result = mem_new(r->body.len + 1);
 	memcpy(rq->result, buf_cstr(&r->body), r->body.len);
 	rq->result_len = r->body.len;
 	str_copy(rq->result_type, r->content_type, sizeof(rq->result_type));
-	finish(rq, FLOW_COMPLETED, r->status);
+	end_request(rq, FLOW_COMPLETED, r->status);
 }
 
-/*
- * One try. Returns true when the outcome stands.
- */
+/* Makes one attempt. Returns true if its outcome is final. */
 static bool try_once(struct entry *en, struct ent_req *rq, struct ent_pool *p,
-		     const struct chosen *c, const struct hcl_request *call,
-		     bool repeatable)
+		     const struct chosen_endpoint *c,
+		     const struct hcl_request *call, bool repeatable)
 {
 	HCL_REPLY_AUTO r = HCL_REPLY_INIT;
 	struct err e = ERR_INIT;
 	const int failed = hcl_call(en->hcl, call, &r, &e);
 
-	release(p, c->id, failed ? ent_now(en) + AVOID_MS : 0);
+	release_endpoint(p, c->id,
+			 failed ? ent_now(en) + AVOID_AFTER_FAILURE_MS : 0);
 	pthread_mutex_lock(&rq->lock);
 	ent_req_log(rq, "plain endpoint=%s outcome=%s status=%d", c->address,
 		    failed ? err_name(e.code) : "answered", r.status);
 	if (!failed) {
 		rq->flow.ran = true;
-		take_reply(rq, &r);
+		store_reply(rq, &r);
 	} else if (e.code != ERR_REFUSED) {
 		rq->flow.ran = true;
 		if (!repeatable)
-			finish(rq, FLOW_FAILED, 504);
+			end_request(rq, FLOW_FAILED, 504);
 	}
 	if (!failed)
 		met_inc(en->m.attempts);
@@ -121,7 +131,7 @@
 {
 	struct ent_pool *p = ent_pool_get(en, rq->service, plain->name, true);
 	char key_header[GRANT_KEY_MAX + 32], type_header[128];
-	struct chosen c;
+	struct chosen_endpoint c;
 	const struct hcl_request call = {
 		.method = method,
 		.address = c.address,
@@ -129,25 +139,26 @@
 		.headers = { key_header, *type ? type_header : NULL },
 		.body = rq->body,
 		.body_len = rq->body ? strlen(rq->body) : 0,
-		.connect_ms = CONNECT_MS,
+		.connect_ms = CONNECT_TIMEOUT_MS,
 		.total_ms = plain->timeout_ms,
 		.once = true,
 	};
-	int tries;
+	int attempt;
 
 	snprintf(key_header, sizeof(key_header), "Idempotency-Key: %s",
 		 rq->key);
 	snprintf(type_header, sizeof(type_header), "Content-Type: %.100s",
 		 type);
-	for (tries = 0; tries < MAX_TRIES; tries++) {
-		if (ent_now(en) >= rq->flow.deadline_ms || !choose(en, p, &c))
+	for (attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+		if (ent_now(en) >= rq->flow.deadline_ms ||
+		    !choose_endpoint(en, p, &c))
 			break;
 		if (try_once(en, rq, p, &c, &call, repeatable))
 			return;
 	}
 	pthread_mutex_lock(&rq->lock);
 	if (rq->flow.phase != FLOW_DONE)
-		finish(rq, rq->flow.ran ? FLOW_FAILED : FLOW_NOT_RUN,
-		       rq->flow.ran ? 504 : 503);
+		end_request(rq, rq->flow.ran ? FLOW_FAILED : FLOW_NOT_RUN,
+			    rq->flow.ran ? 504 : 503);
 	pthread_mutex_unlock(&rq->lock);
 }
--- a/lib/entry/ent_poll.c
+++ b/lib/entry/ent_poll.c
@@ -1,18 +1,18 @@
 /*
- * Load reports: asking the followed endpoints for their state.
+ * Load reports: polls the tracked endpoints of each model for their state.
  */
 #include "entry/entry_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define POLL_GAP_MS 250	     /* the same endpoint, at most so often */
-#define POLL_UNREADY_MS 1000 /* one that is not ready yet */
-#define POLL_USED_MS 5000    /* a model counts as in use for so long */
+#define POLL_INTERVAL_MS 250	      /* minimum interval per endpoint */
+#define POLL_UNREADY_INTERVAL_MS 1000 /* the same while it is not ready */
+#define MODEL_IN_USE_MS 5000 /* a model is in use this long after a request */
 #define POLL_TIMEOUT_MS 1500
 
-/* An endpoint that failed is left alone for a while. */
-#define AVOID_MS 1000
+/* How long an endpoint is avoided after a failed poll. */
+#define AVOID_AFTER_FAILURE_MS 1000
 
 /* ---- Load reports ---- */
 
@@ -31,8 +31,8 @@
 	return p->body.len < 65536;
 }
 
-static void take_state(struct route_endpoint *ep, const struct ent_model *m,
-		       const struct engine_state *s, int64_t now)
+static void apply_state(struct route_endpoint *ep, const struct ent_model *m,
+			const struct engine_state *s, int64_t now)
 {
 	ep->ready = s->ready && !strcmp(s->model, m->name);
 	str_copy(ep->version, s->version, sizeof(ep->version));
@@ -42,8 +42,9 @@
 		ep->leaving = true;
 	ep->streams = s->streams;
 	/*
-	 * Events that fell out of the report, or a count that went back, may
-	 * hide evictions: what was learned before counts no more.
+	 * If cache events are missing from the report, or their sequence number
+	 * went back, evictions may have been missed. What the prefix index
+	 * learned before then no longer counts.
 	 */
 	if (s->cache_first > ep->cache_seq + 1 || s->cache_seq < ep->cache_seq)
 		ep->cache_gap_ms = now;
@@ -66,9 +67,9 @@
 	if (ep) {
 		was_ready = ep->ready;
 		if (ok) {
-			take_state(ep, p->m, &s, now);
+			apply_state(ep, p->m, &s, now);
 		} else {
-			ep->avoid_until_ms = now + AVOID_MS;
+			ep->avoid_until_ms = now + AVOID_AFTER_FAILURE_MS;
 			if (why == ERR_REFUSED)
 				ep->ready = false;
 		}
@@ -103,28 +104,33 @@
 }
 
 /*
- * The followed endpoint whose load was asked for longest ago, at least
- * `gap_ms`; NULL if there is none. Lock held.
+ * Returns the tracked endpoint in the given state (ready or not) that was
+ * polled longest ago, and at least `min_interval_ms` ago; NULL if there is
+ * none. The model's lock is held.
  */
-static struct route_endpoint *oldest(struct ent_model *m, bool ready,
-				     int64_t gap_ms, int64_t now)
+static struct route_endpoint *least_recently_polled(struct ent_model *m,
+						    bool ready,
+						    int64_t min_interval_ms,
+						    int64_t now)
 {
-	struct route_endpoint *const *sub, *best = NULL;
-	const size_t n = route_subset(m->table, &sub);
+	struct route_endpoint *const *subset, *best = NULL;
+	const size_t n = route_subset(m->table, &subset);
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (sub[i]->ready != ready || sub[i]->leaving ||
-		    (sub[i]->polled_ms && now - sub[i]->polled_ms < gap_ms))
+		if (subset[i]->ready != ready || subset[i]->leaving ||
+		    (subset[i]->polled_ms &&
+		     now - subset[i]->polled_ms < min_interval_ms))
 			continue;
-		if (!best || sub[i]->polled_ms < best->polled_ms)
-			best = sub[i];
+		if (!best || subset[i]->polled_ms < best->polled_ms)
+			best = subset[i];
 	}
 	return best;
 }
 
-static bool poll_one(struct entry *en, struct ent_model *m, bool ready,
-		     int64_t gap_ms)
+/* Polls the least recently polled endpoint; false if there is none. */
+static bool poll_next(struct entry *en, struct ent_model *m, bool ready,
+		      int64_t min_interval_ms)
 {
 	const int64_t now = ent_now(en);
 	struct route_endpoint *ep;
@@ -132,7 +138,7 @@
 	uint64_t id = 0;
 
 	pthread_mutex_lock(&m->lock);
-	ep = oldest(m, ready, gap_ms, now);
+	ep = least_recently_polled(m, ready, min_interval_ms, now);
 	if (ep) {
 		ep->polled_ms = now;
 		id = ep->id;
@@ -145,26 +151,28 @@
 }
 
 /*
- * Load is asked for as requests come, so that an idle model costs nothing:
- * each request asks two of the followed endpoints, for the next ones.
+ * Each request polls two of the tracked endpoints, for the requests after it.
+ * An idle model thus costs nothing.
  */
 void ent_poll_for_request(struct entry *en, struct ent_model *m)
 {
 	atomic_store(&m->used_ms, ent_now(en));
-	if (poll_one(en, m, true, POLL_GAP_MS))
-		poll_one(en, m, true, POLL_GAP_MS);
+	if (poll_next(en, m, true, POLL_INTERVAL_MS))
+		poll_next(en, m, true, POLL_INTERVAL_MS);
 }
 
-/* Those that are not ready are looked after until they are; a model in use
- * is asked now and then even if its requests only wait. */
+/*
+ * Polls endpoints that are not ready until they are. Also polls an endpoint of
+ * a model in use, because its requests may all be queued.
+ */
 void ent_poll_model(struct entry *en, struct ent_model *m)
 {
 	int i;
 
 	for (i = 0; i < ROUTE_SUBSET; i++) {
-		if (!poll_one(en, m, false, POLL_UNREADY_MS))
+		if (!poll_next(en, m, false, POLL_UNREADY_INTERVAL_MS))
 			break;
 	}
-	if (ent_now(en) - atomic_load(&m->used_ms) < POLL_USED_MS)
-		poll_one(en, m, true, POLL_GAP_MS);
+	if (ent_now(en) - atomic_load(&m->used_ms) < MODEL_IN_USE_MS)
+		poll_next(en, m, true, POLL_INTERVAL_MS);
 }
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -1,7 +1,7 @@
 /*
- * What peers are answered. One thread; every answer comes from memory, so no
- * peer waits behind another's slow call. Whatever a peer sends that is wrong
- * is an outcome with a counter, never a crash.
+ * The RPC server for peers. It has one thread and replies from memory only, so
+ * that no peer waits for another's slow call. Invalid input from a peer is
+ * rejected and counted, and never causes a crash.
  */
 #include "entry/entry_internal.h"
 
@@ -14,19 +14,19 @@
 
 #include "base/hsh.h"
 
-/* A larger message is refused while it is read. */
-#define MAX_MESSAGE (16 * 1024 * 1024)
+/* Maximum size of a message in bytes; a larger one is rejected while read. */
+#define MAX_MESSAGE_BYTES (16 * 1024 * 1024)
 
 /*
- * libtirpc calls the procedures with no context of ours and keeps its own
- * tables per process, so the entry that answers is named here; there is one
- * per process.
+ * The entry that serves the calls. libtirpc passes no user data to procedures
+ * and keeps its tables per process, so there is one per process.
  */
 static struct entry *serving;
 
 void marldock_peer_1(struct svc_req *rqstp, SVCXPRT *transp);
 
-static bool allowed(const peer_head *h, struct svc_req *q)
+/* Verifies the sender's MAC; rejects the call and counts it if wrong. */
+static bool check_sender(const peer_head *h, struct svc_req *q)
 {
 	char text[128], mac[17];
 
@@ -42,12 +42,14 @@
 
 /* ---- Membership ---- */
 
-static uint64_t sender(const peer_head *h)
+/* Returns the sender's instance id. */
+static uint64_t sender_id(const peer_head *h)
 {
 	return view_instance_id(h->name, h->boot);
 }
 
-static void meet(const peer_member *who)
+/* Records the sender of a ping as an alive member. */
+static void add_alive_member(const peer_member *who)
 {
 	struct swim_delta d = { .state = SWIM_ALIVE };
 
@@ -58,10 +60,14 @@
 	pthread_mutex_unlock(&serving->member_lock);
 }
 
-/* A caller that is thought dead or suspect hears of it and can refute. */
-static size_t add_own_case(const peer_head *h, struct swim_delta *d, size_t n)
+/*
+ * Appends the sender's own delta to the `n` in `d` if it is considered suspect
+ * or dead, so that it can refute. Returns the new number.
+ */
+static size_t add_sender_delta(const peer_head *h, struct swim_delta *d,
+			       size_t n)
 {
-	if (!swim_lookup(serving->swim, sender(h), &d[n]))
+	if (!swim_lookup(serving->swim, sender_id(h), &d[n]))
 		return n;
 	return n + (d[n].state == SWIM_DEAD || d[n].state == SWIM_SUSPECT);
 }
@@ -72,10 +78,10 @@
 		mem_new((VIEW_MAX_MEMBERS + 1) * sizeof(*d));
 	size_t n, i;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
-	meet(&a.who);
+	add_alive_member(&a.who);
 	ent_pull_recent(serving, a.who.peer, a.recent.recent_val,
 			a.recent.recent_len);
 	n = ent_read_deltas(a.deltas.deltas_val, a.deltas.deltas_len, d,
@@ -85,7 +91,7 @@
 		swim_apply(serving->swim, &d[i], ent_now(serving));
 	n = a.joining ? swim_snapshot(serving->swim, d, VIEW_MAX_MEMBERS)
 		      : swim_take_deltas(serving->swim, d, 8);
-	n = add_own_case(&a.head, d, n);
+	n = add_sender_delta(&a.head, d, n);
 	r->digest = spread_digest(serving->spread);
 	ent_recent(serving, &r->recent.recent_val, &r->recent.recent_len);
 	pthread_mutex_unlock(&serving->member_lock);
@@ -94,14 +100,15 @@
 	return TRUE;
 }
 
-struct help {
-	char address[SET_ADDR_MAX];
+/* Context of an indirect probe on behalf of another entry. */
+struct indirect_probe {
+	char asker[SET_ADDR_MAX]; /* requested the probe */
 	uint64_t target;
 };
 
-static void on_help(enum err_code why, const void *result, void *arg)
+static void on_indirect_ping(enum err_code why, const void *result, void *arg)
 {
-	struct help *h = arg;
+	struct indirect_probe *h = arg;
 
 	if (why == ERR_NONE && result) {
 		peer_vouch_args *a = mem_new(sizeof(*a));
@@ -109,7 +116,7 @@
 
 		ent_fill_head(serving, &a->head);
 		a->target = h->target;
-		c = ent_call(h->address, PEER_VOUCH,
+		c = ent_call(h->asker, PEER_VOUCH,
 			     (xdrproc_t)xdr_peer_vouch_args, a,
 			     (xdrproc_t)xdr_bool, sizeof(bool_t), 1000);
 		links_send(serving->links, &c);
@@ -122,15 +129,15 @@
 	struct view_member target;
 	peer_ping_args *p;
 	struct link_call c;
-	struct help *h;
+	struct indirect_probe *h;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	*r = TRUE;
 	if (!ent_read_member(&a.target, &target))
 		return TRUE;
 	h = mem_new(sizeof(*h));
-	str_copy(h->address, a.asker, sizeof(h->address));
+	str_copy(h->asker, a.asker, sizeof(h->asker));
 	h->target = target.id;
 	p = mem_new(sizeof(*p));
 	ent_fill_head(serving, &p->head);
@@ -138,7 +145,7 @@
 	c = ent_call(target.peer, PEER_PING, (xdrproc_t)xdr_peer_ping_args, p,
 		     (xdrproc_t)xdr_peer_ping_reply, sizeof(peer_ping_reply),
 		     600);
-	c.done = on_help;
+	c.done = on_indirect_ping;
 	c.arg = h;
 	if (!links_send(serving->links, &c))
 		free(h);
@@ -147,7 +154,7 @@
 
 bool_t peer_vouch_1_svc(peer_vouch_args a, bool_t *r, struct svc_req *q)
 {
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	pthread_mutex_lock(&serving->member_lock);
 	swim_ack(serving->swim, a.target, ent_now(serving));
@@ -170,7 +177,7 @@
 	};
 	struct judge_reply reply;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	str_copy(ask.key, a.key, sizeof(ask.key));
@@ -186,7 +193,7 @@
 
 bool_t peer_hold_1_svc(peer_hold_args a, bool_t *r, struct svc_req *q)
 {
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	*r = ent_hold(serving, &a);
 	return TRUE;
@@ -196,7 +203,7 @@
 {
 	u_int i;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	*r = TRUE;
 	for (i = 0; i < a.updates.updates_len; i++) {
@@ -209,7 +216,7 @@
 bool_t peer_fetch_1_svc(peer_fetch_args a, peer_fetch_reply *r,
 			struct svc_req *q)
 {
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	ent_fetch(serving, &a, r);
@@ -228,7 +235,7 @@
 	MEM_AUTO struct judge_vote *v = mem_new(a.votes.votes_len * sizeof(*v));
 	u_int i;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	*r = FALSE;
 	for (i = 0; i < a.votes.votes_len; i++) {
@@ -247,7 +254,7 @@
 	pthread_mutex_lock(&serving->judge_lock);
 	*r = judge_import(serving->judge,
 			  ent_snap_view(ent_snap(serving), a.view),
-			  sender(&a.head), v, a.votes.votes_len,
+			  sender_id(&a.head), v, a.votes.votes_len,
 			  clk_wall_ms(serving->clk));
 	pthread_mutex_unlock(&serving->judge_lock);
 	pub_read_unlock();
@@ -256,8 +263,11 @@
 
 /* ---- Items ---- */
 
-/* Those of the names that are news here. Called with the lock held. */
-static u_int wanted(const peer_name *names, u_int n, peer_name **out)
+/*
+ * Sets `*out` to those names that have a higher revision than in this entry's
+ * table, and returns their number. member_lock is held.
+ */
+static u_int list_newer_names(const peer_name *names, u_int n, peer_name **out)
 {
 	u_int k = 0, i;
 
@@ -275,12 +285,12 @@
 bool_t peer_offer_1_svc(peer_offer_args a, peer_offer_reply *r,
 			struct svc_req *q)
 {
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	pthread_mutex_lock(&serving->member_lock);
-	r->wanted.wanted_len = wanted(a.names.names_val, a.names.names_len,
-				      &r->wanted.wanted_val);
+	r->wanted.wanted_len = list_newer_names(
+		a.names.names_val, a.names.names_len, &r->wanted.wanted_val);
 	pthread_mutex_unlock(&serving->member_lock);
 	return TRUE;
 }
@@ -289,7 +299,7 @@
 {
 	u_int i;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	r->verdicts.verdicts_val = mem_new(a.items.items_len * sizeof(u_int));
@@ -304,38 +314,42 @@
 	return TRUE;
 }
 
-struct lacking {
+/* Collects the items for a sync reply. */
+struct sync_items {
 	const peer_offer_args *a;
 	peer_sync_reply *r;
 	int64_t now;
-	size_t room;
+	size_t room; /* bytes left in the reply */
 };
 
-static int by_item_name(const void *a, const void *b)
+static int compare_item_names(const void *a, const void *b)
 {
 	const peer_name *x = a, *y = b;
 
 	return strcmp(x->name, y->name);
 }
 
-/* The caller's names, sorted: a scan for each item would take the square. */
+/*
+ * Finds a name in the sorted names of the caller. A linear search for each item
+ * would take quadratic time.
+ */
 static const peer_name *find_name(const peer_offer_args *a, const char *name)
 {
 	const peer_name want = { .name = (char *)name };
 
 	return bsearch(&want, a->names.names_val, a->names.names_len,
-		       sizeof(want), by_item_name);
+		       sizeof(want), compare_item_names);
 }
 
-/* Adds an item that the caller has not, or has in a lower revision. */
-static void add_lacking(const struct spread_item *it, void *arg)
+/* Adds an item that the caller lacks or has in a lower revision. */
+static void add_missing_item(const struct spread_item *it, void *arg)
 {
-	struct lacking *l = arg;
+	struct sync_items *l = arg;
 	const peer_name *theirs = find_name(l->a, it->name);
 
 	if (theirs && theirs->rev >= it->rev)
 		return;
-	/* The rest comes with the next exchange; a message is bounded. */
+	/* The message size is limited; the next sync sends the rest. */
 	if (it->len + 256 > l->room)
 		return;
 	l->room -= it->len + 256;
@@ -345,30 +359,31 @@
 
 bool_t peer_sync_1_svc(peer_offer_args a, peer_sync_reply *r, struct svc_req *q)
 {
-	struct lacking l = { &a, r, ent_now(serving), MAX_MESSAGE / 2 };
+	struct sync_items l = { &a, r, ent_now(serving),
+				MAX_MESSAGE_BYTES / 2 };
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	if (a.names.names_len)
 		qsort(a.names.names_val, a.names.names_len, sizeof(peer_name),
-		      by_item_name);
+		      compare_item_names);
 	pthread_mutex_lock(&serving->member_lock);
-	r->wanted.wanted_len = wanted(a.names.names_val, a.names.names_len,
-				      &r->wanted.wanted_val);
+	r->wanted.wanted_len = list_newer_names(
+		a.names.names_val, a.names.names_len, &r->wanted.wanted_val);
 	r->items.items_val =
 		mem_new(spread_count(serving->spread) * sizeof(peer_item));
-	spread_each(serving->spread, add_lacking, &l);
+	spread_each(serving->spread, add_missing_item, &l);
 	pthread_mutex_unlock(&serving->member_lock);
 	return TRUE;
 }
 
-/* The items named, as far as they are in force here. */
+/* Returns the named items, as far as this entry has them in force. */
 bool_t peer_pull_1_svc(peer_offer_args a, peer_give_args *r, struct svc_req *q)
 {
 	u_int i;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
 	ent_fill_head(serving, &r->head);
@@ -391,11 +406,12 @@
 bool_t peer_share_1_svc(peer_share_args a, peer_share_reply *r,
 			struct svc_req *q)
 {
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
-	r->keeper = ent_share_keep(serving, a.account, a.view, sender(&a.head),
-				   a.demand, a.in_use, &r->rate);
+	r->keeper = ent_share_keep(serving, a.account, a.view,
+				   sender_id(&a.head), a.demand, a.in_use,
+				   &r->rate);
 	return TRUE;
 }
 
@@ -403,7 +419,7 @@
 {
 	BUF_AUTO b = BUF_INIT;
 
-	if (!allowed(&a.head, q))
+	if (!check_sender(&a.head, q))
 		return FALSE;
 	ent_status(serving, a.what, &b);
 	r->text = mem_dup(buf_cstr(&b));
@@ -525,15 +541,16 @@
 	pthread_mutex_unlock(&en->member_lock);
 }
 
-struct names_of {
+/* Prints the items whose names have a prefix. */
+struct item_printer {
 	const char *prefix;
 	struct buf *out;
 	const char *sep;
 };
 
-static void add_item_json(const struct spread_item *it, void *arg)
+static void print_item(const struct spread_item *it, void *arg)
 {
-	struct names_of *n = arg;
+	struct item_printer *n = arg;
 
 	if (strncmp(it->name, n->prefix, strlen(n->prefix)))
 		return;
@@ -545,14 +562,14 @@
 	n->sep = ",";
 }
 
-/* All items under a prefix, for the control process. Bodies are JSON. */
+/* Prints all items under a prefix for the control process. Bodies are JSON. */
 static void status_items(struct entry *en, const char *prefix, struct buf *out)
 {
-	struct names_of n = { prefix, out, "" };
+	struct item_printer n = { prefix, out, "" };
 
 	buf_str(out, "{\"items\":[");
 	pthread_mutex_lock(&en->member_lock);
-	spread_each(en->spread, add_item_json, &n);
+	spread_each(en->spread, print_item, &n);
 	pthread_mutex_unlock(&en->member_lock);
 	buf_str(out, "]}");
 }
@@ -591,7 +608,7 @@
 	struct sockaddr_in sa = { .sin_family = AF_INET };
 	socklen_t len = sizeof(sa);
 	char host[SET_ADDR_MAX];
-	int port, one = 1, max = MAX_MESSAGE;
+	int port, one = 1, max = MAX_MESSAGE_BYTES;
 	SVCXPRT *t;
 
 	set_split_addr(en->set.peer_address, host, &port);
@@ -608,8 +625,10 @@
 	}
 	snprintf(en->peer_address, sizeof(en->peer_address), "%.40s:%d", host,
 		 ntohs(sa.sin_port));
-	/* With a bound on records a peer that stalls in mid-record does not
-	 * stall the thread: libtirpc then reads without blocking. */
+	/*
+	 * With a limit on the record size libtirpc reads without blocking, so
+	 * that a peer which stalls within a record doesn't stall the thread.
+	 */
 	rpc_control(RPC_SVC_CONNMAXREC_SET, &max);
 	t = svc_vc_create(en->rpc_fd, 0, 0);
 	if (!t ||
@@ -629,7 +648,7 @@
 void ent_rpc_stop(struct entry *en)
 {
 	svc_exit();
-	/* svc_run looks again when a connection comes. */
+	/* svc_run() checks for the exit only at the next connection. */
 	{
 		const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 		struct sockaddr_in sa = { .sin_family = AF_INET };
--- a/lib/entry/ent_share.c
+++ b/lib/entry/ent_share.c
@@ -1,5 +1,6 @@
 /*
- * Account limits: asking keepers for shares, and being one.
+ * Rate limits of accounts: requests shares from the accounts' keepers, and
+ * grants shares for the accounts whose keeper this entry is.
  */
 #include "entry/entry_internal.h"
 
@@ -9,9 +10,10 @@
 
 #include "base/hsh.h"
 
-#define ASK_MS 800
+/* Timeout of a request for a share. */
+#define REQUEST_TIMEOUT_MS 800
 
-/* The account's keeper in a view; O(members), about once a second. */
+/* Returns an account's keeper in a view. O(members), about once a second. */
 static const struct view_member *keeper_of(const struct view *v,
 					   const char *account)
 {
@@ -31,9 +33,13 @@
 	return best;
 }
 
-/* Called with the account's lock held. */
-static void follow_view(struct entry *en, struct ent_account *a, bool mine,
-			size_t members)
+/*
+ * Creates or frees the keeper of the account as this entry becomes its keeper
+ * or ceases to be. `members`: number of entries in the view. The account's lock
+ * is held.
+ */
+static void update_keeper(struct entry *en, struct ent_account *a, bool mine,
+			  size_t members)
 {
 	a->share.members = members ? members : 1;
 	if (!mine) {
@@ -45,7 +51,8 @@
 		a->keeper = share_keeper_create(a->limit, members, ent_now(en));
 }
 
-static size_t alive_of(const struct ent_snap *s, const struct view *v)
+/* Returns the number of members of the view that are alive. */
+static size_t count_alive(const struct ent_snap *s, const struct view *v)
 {
 	size_t n = 0, i;
 
@@ -59,7 +66,8 @@
 }
 
 bool ent_share_keep(struct entry *en, const char *account, uint64_t view,
-		    uint64_t who, double demand, double in_use, double *rate)
+		    uint64_t requester, double demand, double in_use,
+		    double *rate)
 {
 	const struct ent_snap *s;
 	const struct view *v;
@@ -70,13 +78,13 @@
 	pub_read_lock();
 	s = ent_snap(en);
 	v = ent_snap_current(s);
-	/* Both must be in the same view, or two keepers would give. */
+	/* Both must use the same view, or two keepers could grant shares. */
 	if (v && v->number == view) {
 		const struct view_member *k = keeper_of(v, account);
 
 		mine = k && k->id == en->self.id;
 		members = v->nr;
-		alive = alive_of(s, v);
+		alive = count_alive(s, v);
 	}
 	pub_read_unlock();
 	if (!mine)
@@ -90,15 +98,16 @@
 	if (!found)
 		return false;
 	pthread_mutex_lock(&found->lock);
-	follow_view(en, found, true, members);
+	update_keeper(en, found, true, members);
 	share_keeper_scale(found->keeper, alive, members);
-	*rate = share_keeper_request(found->keeper, who, demand, in_use,
+	*rate = share_keeper_request(found->keeper, requester, demand, in_use,
 				     ent_now(en));
 	pthread_mutex_unlock(&found->lock);
 	return true;
 }
 
-struct asking {
+/* Context of a request for a share. */
+struct share_call {
 	struct entry *en;
 	struct ent_account *a;
 	int64_t asked_ms;
@@ -107,25 +116,25 @@
 static void on_share(enum err_code why, const void *result, void *arg)
 {
 	const peer_share_reply *r = result;
-	struct asking *x = arg;
+	struct share_call *call = arg;
 
-	pthread_mutex_lock(&x->a->lock);
+	pthread_mutex_lock(&call->a->lock);
 	if (why == ERR_NONE && r->keeper)
-		share_update(&x->a->share, r->rate, x->asked_ms);
+		share_update(&call->a->share, r->rate, call->asked_ms);
 	else
-		x->a->asked_keeper = 0;
-	pthread_mutex_unlock(&x->a->lock);
-	atomic_store(&x->a->asking, false);
-	free(x);
+		call->a->asked_keeper = 0;
+	pthread_mutex_unlock(&call->a->lock);
+	atomic_store(&call->a->asking, false);
+	free(call);
 }
 
-static void ask_keeper(struct entry *en, struct ent_account *a,
-		       const struct view_member *k, uint64_t view,
-		       double demand, double in_use)
+static void request_share(struct entry *en, struct ent_account *a,
+			  const struct view_member *k, uint64_t view,
+			  double demand, double in_use)
 {
 	const int64_t now = ent_now(en);
 	peer_share_args *args;
-	struct asking *x;
+	struct share_call *call;
 	struct link_call c;
 	double rate;
 
@@ -146,29 +155,30 @@
 	args->view = view;
 	args->demand = demand;
 	args->in_use = in_use;
-	x = mem_new(sizeof(*x));
-	x->en = en;
-	x->a = a;
-	x->asked_ms = now;
+	call = mem_new(sizeof(*call));
+	call->en = en;
+	call->a = a;
+	call->asked_ms = now;
 	c = ent_call(k->peer, PEER_SHARE, (xdrproc_t)xdr_peer_share_args, args,
 		     (xdrproc_t)xdr_peer_share_reply, sizeof(peer_share_reply),
-		     ASK_MS);
+		     REQUEST_TIMEOUT_MS);
 	c.done = on_share;
-	c.arg = x;
+	c.arg = call;
 	if (!links_send(en->links, &c)) {
 		atomic_store(&a->asking, false);
-		free(x);
+		free(call);
 	}
 }
 
-static void tick_account(struct entry *en, struct ent_account *a, bool now)
+/* Requests a share if one is due, the keeper changed, or `urgent` is set. */
+static void refresh_share(struct entry *en, struct ent_account *a, bool urgent)
 {
 	struct view_member k = { 0 };
 	const struct view *v;
 	double demand, in_use;
 	uint64_t view = 0;
 	size_t members = 0;
-	bool wants;
+	bool due;
 
 	pub_read_lock();
 	v = ent_snap_current(ent_snap(en));
@@ -181,21 +191,23 @@
 	if (!view)
 		return;
 	pthread_mutex_lock(&a->lock);
-	follow_view(en, a, k.id == en->self.id, members);
-	/* A new keeper must hear from all before it may give. */
-	wants = now || share_is_due(&a->share, ent_now(en)) ||
-		a->asked_keeper != k.id;
+	update_keeper(en, a, k.id == en->self.id, members);
+	/* A new keeper needs a report of every entry before it grants. */
+	due = urgent || share_is_due(&a->share, ent_now(en)) ||
+	      a->asked_keeper != k.id;
 	a->asked_keeper = k.id;
 	demand = a->share.demand;
 	in_use = share_in_use(&a->share, ent_now(en));
 	pthread_mutex_unlock(&a->lock);
-	if (wants)
-		ask_keeper(en, a, &k, view, demand, in_use);
+	if (due)
+		request_share(en, a, &k, view, demand, in_use);
 }
 
-/* A surge at one entry need not wait for the next round, but two asks are
- * this far apart at least. */
-#define URGENT_MS 250
+/*
+ * Minimum interval between requests for a share when it is used up. A surge of
+ * load at one entry need not wait for the next periodic request.
+ */
+#define MIN_REQUEST_INTERVAL_MS 250
 
 void ent_share_ask_now(struct entry *en, struct ent_account *a, bool empty)
 {
@@ -204,11 +216,11 @@
 
 	pthread_mutex_lock(&a->lock);
 	needed = share_in_use(&a->share, now) <= 0 ||
-		 (empty &&
-		  now - (a->share.valid_ms - SHARE_TTL_MS) >= URGENT_MS);
+		 (empty && now - (a->share.valid_ms - SHARE_TTL_MS) >=
+				   MIN_REQUEST_INTERVAL_MS);
 	pthread_mutex_unlock(&a->lock);
 	if (needed)
-		tick_account(en, a, true);
+		refresh_share(en, a, true);
 }
 
 void ent_share_tick(struct entry *en)
@@ -225,5 +237,5 @@
 		all[i++] = a;
 	pthread_mutex_unlock(&en->list_lock);
 	for (i = 0; i < n; i++)
-		tick_account(en, all[i], false);
+		refresh_share(en, all[i], false);
 }
