--- a/lib/entry/ent_admit.c
+++ b/lib/entry/ent_admit.c
@@ -39,20 +39,20 @@
 static double queue_wait_ms(const struct ent_req *rq, size_t entries)
 {
 	const struct ent_model *m = rq->mod;
-	const double ahead = wfq_ahead(m->queue, rq->item.flow, rq->item.weight,
-				       rq->item.cost);
-	struct route_endpoint *const *sub;
-	const size_t n = route_subset(m->table, &sub);
+	const double cost_ahead = wfq_ahead(m->queue, rq->item.flow,
+					    rq->item.weight, rq->item.cost);
+	struct route_endpoint *const *subset;
+	const size_t n = route_subset(m->table, &subset);
 	double rate = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (sub[i]->ready && !sub[i]->leaving)
-			rate += sub[i]->tokens_per_s;
+		if (subset[i]->ready && !subset[i]->leaving)
+			rate += subset[i]->tokens_per_s;
 	}
 	if (n)
 		rate *= (double)route_count(m->table) / (double)n;
-	return rate > 0 ? ahead / (rate / (double)entries) * 1000.0 : 0;
+	return rate > 0 ? cost_ahead / (rate / (double)entries) * 1000.0 : 0;
 }
 
 /* Sets the flow, weight and cost by which the request is queued. */
--- a/lib/entry/ent_feed.c
+++ b/lib/entry/ent_feed.c
@@ -14,8 +14,9 @@
 #define LOCAL_WAIT_MS 500
 
 /*
- * Time without an owner after which the copy in this entry is taken over: a
- * first failed round over the owner and the judges does not suffice.
+ * Time without an owner after which the copy in this entry is taken over: less
+ * than the pause between two rounds over the owner and the judges, so that the
+ * second failed round takes over.
  */
 #define LOCAL_TAKEOVER_MS 50
 
@@ -87,8 +88,14 @@
 
 const struct ent_feed_vtable ent_local_vt = { local_next };
 
-static bool fetch(struct ent_remote_feed *r, const char *address, bool lost,
-		  uint32_t gen, uint32_t offset, peer_fetch_reply *out)
+/*
+ * Fetches what follows (`gen`, `offset`) from the entry at `address`.
+ * `owner_lost` makes the holder of the copy take over. Returns true if the
+ * entry replied; `out` is then to be freed with xdr_free().
+ */
+static bool fetch(struct ent_remote_feed *r, const char *address,
+		  bool owner_lost, uint32_t gen, uint32_t offset,
+		  peer_fetch_reply *out)
 {
 	peer_fetch_args *a = mem_new(sizeof(*a));
 	struct err e = ERR_INIT;
@@ -99,7 +106,7 @@
 	a->account = mem_dup(r->account);
 	a->gen = gen;
 	a->from = offset;
-	a->owner_lost = lost;
+	a->owner_lost = owner_lost;
 	c = ent_call(address, PEER_FETCH, (xdrproc_t)xdr_peer_fetch_args, a,
 		     (xdrproc_t)xdr_peer_fetch_reply, sizeof(*out),
 		     FETCH_TIMEOUT_MS);
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -22,8 +22,8 @@
 /* Maximum number of tokens to generate if the client sets none. */
 #define DEFAULT_MAX_TOKENS 256
 
-/* The client account that sent a request, and its limits. */
-struct caller {
+/* The client that sent a request: its account and the account's limits. */
+struct client {
 	struct entry *en;
 	struct hsv_request *rq;
 	char account[DOC_NAME_MAX];
@@ -43,9 +43,12 @@
 	return !strncmp(h, "Bearer ", 7) ? h + 7 : "";
 }
 
-/* Sets `c` by the request's key; replies 401 and returns false if unknown. */
+/*
+ * Sets `c` to the account that has the request's bearer token. Replies 401 and
+ * returns false if there is none.
+ */
 static bool authenticate(struct entry *en, struct hsv_request *rq,
-			 struct caller *c)
+			 struct client *c)
 {
 	const struct ent_account_ref *r;
 	const char *bearer = bearer_token(rq);
@@ -129,7 +132,7 @@
 	struct listed_entry best[MAX_LISTED_ENTRIES];
 	BUF_AUTO b = BUF_INIT;
 	char zone[VIEW_NAME_MAX];
-	struct caller c;
+	struct client c;
 	struct grant g;
 	size_t n, i;
 
@@ -163,7 +166,7 @@
  * it has no time of issue, so its judges are those of the current view, and a
  * second submission may run again after a change of view.
  */
-static bool resolve_key(struct caller *c, const char *given, bool repeatable,
+static bool resolve_key(struct client *c, const char *given, bool repeatable,
 			struct ent_req **out)
 {
 	struct entry *en = c->en;
@@ -224,7 +227,7 @@
 
 /* ---- Claiming ---- */
 
-static void reply_claim_failed(struct caller *c, enum claim_outcome outcome)
+static void reply_claim_failed(struct client *c, enum claim_outcome outcome)
 {
 	if (outcome == CLAIM_BURNED)
 		ent_refuse(
@@ -247,7 +250,7 @@
  * Otherwise serves the request from the entry that has it, or replies with an
  * error, and returns false.
  */
-static bool claim_or_join(struct caller *c, struct ent_req *rq,
+static bool claim_or_join(struct client *c, struct ent_req *rq,
 			  struct ent_writer *w)
 {
 	struct entry *en = c->en;
@@ -296,6 +299,7 @@
 	return members > 1;
 }
 
+/* Ends a claimed request that was not started. `status`: the HTTP status. */
 static void end_not_run(struct ent_req *rq, int status)
 {
 	pthread_mutex_lock(&rq->lock);
@@ -316,7 +320,7 @@
  * claimed by this entry, and another entry, if there is one, holds its copy.
  * Otherwise the client has been sent a response.
  */
-static bool find_or_claim(struct caller *c, struct ent_req *rq,
+static bool find_or_claim(struct client *c, struct ent_req *rq,
 			  struct ent_writer *w)
 {
 	struct entry *en = c->en;
@@ -357,7 +361,8 @@
 
 /* ---- POST /v1/completions and /v1/chat/completions ---- */
 
-struct parsed {
+/* The parsed body of a completion request. */
+struct completion_params {
 	char model[DOC_NAME_MAX];
 	char adapter[DOC_NAME_MAX];
 	char *prompt; /* owned by the struct */
@@ -365,7 +370,7 @@
 	bool stream;
 };
 
-static bool parse_body(struct caller *c, bool chat, struct parsed *p)
+static bool parse_body(struct client *c, bool chat, struct completion_params *p)
 {
 	JSN_AUTO *o = jsn_parse(buf_cstr(&c->rq->body), c->rq->body.len);
 	struct json_object *prompt = jsn_get(o, chat ? "messages" : "prompt");
@@ -401,7 +406,7 @@
  * Looks the model and adapter up in the document and sets `*deadline_ms`, the
  * duration allowed for the request. Replies 404 and returns false if unknown.
  */
-static bool find_model(struct caller *c, const struct parsed *p,
+static bool find_model(struct client *c, const struct completion_params *p,
 		       int64_t *deadline_ms)
 {
 	const struct ent_doc *d;
@@ -425,8 +430,9 @@
 	return false;
 }
 
-static void prepare_model(struct caller *c, struct ent_req *rq,
-			  struct parsed *p, bool chat, int64_t deadline_ms)
+static void prepare_model(struct client *c, struct ent_req *rq,
+			  struct completion_params *p, bool chat,
+			  int64_t deadline_ms)
 {
 	struct entry *en = c->en;
 	const size_t len = strlen(p->prompt);
@@ -447,7 +453,7 @@
 		  ent_now(en) + deadline_ms);
 }
 
-static void reply_refused(struct caller *c, struct ent_req *rq,
+static void reply_refused(struct client *c, struct ent_req *rq,
 			  const struct admit_result *a)
 {
 	char detail[96];
@@ -466,8 +472,8 @@
 	int64_t deadline_ms = 0;
 	struct admit_result a;
 	struct ent_req *rq;
-	struct parsed p;
-	struct caller c;
+	struct completion_params p;
+	struct client c;
 
 	if (!authenticate(en, hr, &c) || !parse_body(&c, chat, &p))
 		return;
@@ -492,7 +498,8 @@
 
 /* ---- /v1/services/NAME/... ---- */
 
-static bool find_plain(struct caller *c, const char *name, const char *path,
+/* Looks a plain service up; replies 404 and returns false if unknown. */
+static bool find_plain(struct client *c, const char *name, const char *path,
 		       struct doc_plain *out, bool *repeatable)
 {
 	const struct ent_doc *d;
@@ -511,7 +518,8 @@
 	return p != NULL;
 }
 
-static bool admit_plain(struct caller *c, struct ent_req *rq)
+/* Admits a plain call, or replies with the refusal and returns false. */
+static bool admit_plain(struct client *c, struct ent_req *rq)
 {
 	struct admit_facts f = {
 		.draining = atomic_load(&c->en->releasing),
@@ -547,7 +555,7 @@
 	char name[DOC_NAME_MAX] = "";
 	struct doc_plain plain;
 	struct ent_req *rq;
-	struct caller c;
+	struct client c;
 	bool repeatable = false;
 
 	if (!authenticate(en, hr, &c))
@@ -581,7 +589,7 @@
 	const char *key = hr->path + strlen("/v1/requests/");
 	struct ent_writer w = { .en = en, .rq = hr, .key = key };
 	struct ent_req *rq, *existing;
-	struct caller c;
+	struct client c;
 	char mode[8];
 
 	if (!authenticate(en, hr, &c))
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -168,7 +168,7 @@
 bool_t peer_claim_1_svc(peer_claim_args a, peer_claim_reply *r,
 			struct svc_req *q)
 {
-	struct judge_request ask = {
+	struct judge_request claim = {
 		.view = a.view,
 		.slot = a.slot,
 		.judge_index = a.place,
@@ -180,8 +180,8 @@
 	if (!check_sender(&a.head, q))
 		return FALSE;
 	memset(r, 0, sizeof(*r));
-	str_copy(ask.key, a.key, sizeof(ask.key));
-	reply = ent_judge_ask(serving, &ask);
+	str_copy(claim.key, a.key, sizeof(claim.key));
+	reply = ent_judge_ask(serving, &claim);
 	r->verdict = reply.verdict;
 	r->reason = reply.reason;
 	r->taken_by = reply.voted_for;
--- a/lib/entry/ent_share.c
+++ b/lib/entry/ent_share.c
@@ -38,11 +38,11 @@
  * or ceases to be. `members`: number of entries in the view. The account's lock
  * is held.
  */
-static void update_keeper(struct entry *en, struct ent_account *a, bool mine,
-			  size_t members)
+static void update_keeper(struct entry *en, struct ent_account *a,
+			  bool is_keeper, size_t members)
 {
 	a->share.members = members ? members : 1;
-	if (!mine) {
+	if (!is_keeper) {
 		share_keeper_free(a->keeper);
 		a->keeper = NULL;
 		return;
@@ -51,7 +51,7 @@
 		a->keeper = share_keeper_create(a->limit, members, ent_now(en));
 }
 
-/* Returns the number of members of the view that are alive. */
+/* Returns the number of the view's members that are not suspect or dead. */
 static size_t count_alive(const struct ent_snap *s, const struct view *v)
 {
 	size_t n = 0, i;
@@ -73,7 +73,7 @@
 	const struct view *v;
 	struct ent_account *a, *found = NULL;
 	size_t alive = 0, members = 0;
-	bool mine = false;
+	bool is_keeper = false;
 
 	pub_read_lock();
 	s = ent_snap(en);
@@ -82,12 +82,12 @@
 	if (v && v->number == view) {
 		const struct view_member *k = keeper_of(v, account);
 
-		mine = k && k->id == en->self.id;
+		is_keeper = k && k->id == en->self.id;
 		members = v->nr;
 		alive = count_alive(s, v);
 	}
 	pub_read_unlock();
-	if (!mine)
+	if (!is_keeper)
 		return false;
 	pthread_mutex_lock(&en->list_lock);
 	cds_list_for_each_entry(a, &en->accounts, node) {
