--- a/lib/entry/ent_feed.c
+++ b/lib/entry/ent_feed.c
@@ -178,8 +178,8 @@
 /*
  * Queries the entries in order until one owns the request or knows its outcome,
  * and fills `out` from its reply. `owner_lost` makes the holder of the copy
- * take over. It is not sent to the winner: one that replies without owning the
- * request has yet to begin it.
+ * take over. It is not sent to the winner: a winner that replies without owning
+ * the request has yet to begin it.
  */
 static bool query_entries(struct ent_remote_feed *r, struct owner_search *s,
 			  bool owner_lost, uint32_t gen, uint32_t offset,
--- a/scripts/process_test.sh
+++ b/scripts/process_test.sh
@@ -126,9 +126,10 @@
 	expect "revision 3 in force in all entries" [ "$(grep -c '"kvotebors-nord":3' "$DIR/out")" = "$ENTRIES" ]
 }
 
-# Guards against the loss of an accepted edit in all entries after the key-value
-# service is restored from a backup: it then has revision 1, while revision 3 is
-# in force. The revision in force must stay, be written back and raise an alarm.
+# Guards against the loss of an accepted edit in all entries. The key-value
+# service is restored from a backup with revision 1 while revision 3 is in force,
+# and the older document looks like the service's current one. The revision in
+# force must stay and be written back, and an alarm must be raised.
 restored_backup() {
 	local key old i
 	key=$(printf /marldock/doc/$DEPLOYMENT | base64 -w0)
@@ -204,7 +205,8 @@
 kv_fault up
 await_load "key-value service down"
 
-# -- Bayt Tayar: engines without fencing, two zones reclaimed, a new version --
+# -- Bayt Tayar: engines that ignore fencing tokens, reclaims in two zones one
+# after the other, a new model version --
 fresh bayt-tayar || exit 1
 run_load 10 14
 sleep 2
