--- a/lib/member/named.h
+++ b/lib/member/advertise.h
@@ -8,8 +8,8 @@
  * So only as many entries are advertised as the load needs. The others are
  * ready to take over.
  */
-#ifndef NAMED_H
-#define NAMED_H
+#ifndef ADVERTISE_H
+#define ADVERTISE_H
 
 #include <stddef.h>
 
@@ -17,6 +17,6 @@
  * Returns how many of `accepting` entries, those that accept requests, to
  * advertise for a fleet-wide load of `requests_per_s`. At most `accepting`.
  */
-size_t named_count(double requests_per_s, size_t accepting);
+size_t advertise_count(double requests_per_s, size_t accepting);
 
 #endif
