--- a/lib/store/feed.h
+++ b/lib/store/feed.h
@@ -1,6 +1,7 @@
 /*
  * feed: the changes that this entry's watch of the store returned, kept for the
- * entries that follow it.
+ * entries that follow it. An entry is one of the processes that accept client
+ * requests.
  *
  * A few entries (the watchers) watch the store; each of the others follows one
  * of them. Each answer of the watch that has changes is kept as a batch, with
@@ -10,7 +11,8 @@
  *
  * Reason: each answer of a watch is a priced call, and without followers every
  * entry gets one per change. With eight entries, following halved the calls;
- * with eighty, the calls were a quarter of the day's worth.
+ * with eighty that all watched, the calls cost a quarter of the value of the
+ * day's requests.
  */
 #ifndef FEED_H
 #define FEED_H
@@ -83,10 +85,11 @@
 			    const struct feed_batch **batch);
 
 /*
- * ms. A feed is current while its watch was answered no longer ago than the
- * watch's wait and this. If a watch is stalled, other calls to the store may
- * still succeed, and followers would be told that nothing has changed. A watch
- * pauses for 400 ms between answers (MIR_PACE_MS).
+ * ms. A feed is current while the last answer of its watch is no older than the
+ * watch's wait plus this. While a watch is stalled, the entry's other calls to
+ * the store may still succeed; without this bound its followers would get
+ * FEED_UNCHANGED although there are changes. A watch pauses for 400 ms between
+ * answers (MIR_PACE_MS).
  */
 #define FEED_STALE_MS 700
 
@@ -97,10 +100,11 @@
 bool feed_is_current(int64_t answered_ms, int wait_ms, int64_t now_ms);
 
 /*
- * ms since the start of an entry. When it has started, it lists all keys. After
- * FEED_REGISTER_MS, by when all entries that started together have registered,
- * it watches the keys of entries once to learn of them. Then it exchanges
- * datagrams with them, and after FEED_SETTLE_MS it follows a watcher.
+ * Steps of an entry's start, in ms since it started. At first it lists all
+ * keys. At FEED_REGISTER_MS, by when all entries that started together have
+ * registered, it watches the keys of entries once to learn of them. Then it
+ * exchanges datagrams with them, and from FEED_SETTLE_MS on it follows a
+ * watcher.
  *
  * Reason: when each entry watched the store until it had received datagrams,
  * its watch returned after every few registrations, and 295 entries that
@@ -111,7 +115,7 @@
 #define FEED_SETTLE_MS 2000
 
 struct feed_startup {
-	int64_t since_ms;     /* since this entry started */
+	int64_t since_ms;     /* ms since this entry started */
 	bool first_start;     /* the whole system starts for the first time */
 	size_t known_entries; /* other entries that it knows */
 	bool entry_keys;      /* the keys are the registrations of entries */
@@ -125,8 +129,8 @@
 bool feed_may_watch(const struct feed_startup *s);
 
 /*
- * Returns how many of `n` entries watch the store: at least two, so that
- * followers do not notice the loss of one.
+ * Returns how many of `n` entries watch the store: at least two, so that the
+ * followers of one that is lost can follow another one at once.
  */
 unsigned feed_watcher_count(unsigned n);
 
--- a/lib/store/mir.h
+++ b/lib/store/mir.h
@@ -28,7 +28,7 @@
 #define MIR_RETRY_MAX_MS 300
 
 enum mir_call {
-	MIR_NONE,  /* none now: call again at `due_ms` */
+	MIR_NONE,  /* no call now */
 	MIR_LIST,  /* list a page after the key `after` ("": the first page) */
 	MIR_WATCH, /* watch for changes after `revision` */
 };
@@ -49,7 +49,7 @@
 	struct mir_item *items; /* uthash by key */
 	enum mir_call state;	/* the next call, or the pending one */
 	bool call_pending;
-	char after[256];
+	char after[256];	/* last key of the page before; "": none */
 	int64_t first_page_rev; /* 0: no page of this listing yet */
 	uint64_t listing;	/* number of the current listing */
 	int64_t revision;	/* changes up to here were reported */
@@ -66,7 +66,7 @@
 
 /*
  * Returns the call to make now; it is then pending. MIR_NONE if one is pending
- * already or none is due.
+ * already, or if none is due before `m->due_ms`.
  */
 enum mir_call mir_next(struct mir *m, int64_t now_ms);
 
--- a/lib/store/sto.c
+++ b/lib/store/sto.c
@@ -37,8 +37,8 @@
 
 /*
  * ms without a successful call after which the store counts as having been
- * unreachable. A lease is renewed every 0.9 s; the endpoints' entries in the
- * store expire after 3.6 s without renewal.
+ * unreachable. A lease is renewed every 0.9 s; the endpoints' keys in the store
+ * expire after 3.6 s without renewal.
  */
 #define OUTAGE_MS 1500
 
@@ -58,12 +58,15 @@
 #define DIRECT_BACKOFF_MAX_MS 2800
 
 /*
- * Bytes. A watch returns at most as much as one page of the store: 1 MB, in
- * base64.
+ * Largest decompressed answer of a followed entry, in bytes. A watch returns at
+ * most as much as one page of the store: 1 MB, in base64.
  */
 #define UNPACKED_MAX (2u << 20)
 
-/* ms. The store keeps idle connections longer than this. */
+/*
+ * Idle connections are closed after this time in ms, which is shorter than the
+ * store keeps them.
+ */
 #define IDLE_MS 8000
 
 struct sto {
@@ -103,7 +106,7 @@
 	sto_done done;
 	void *arg;
 	int64_t asked_ms;
-	int wait_ms; /* of a watch, which the store may take to answer */
+	int wait_ms; /* longest wait of a watch; 0: other calls */
 	bool direct;
 	bool following; /* sent to an entry: its outcome is not the store's */
 	int status;
@@ -289,6 +292,7 @@
 	s->backoff_until_ms = now + s->backoff_ms;
 }
 
+/* Outcomes before STO_BUSY are answers of a store that works. */
 static void record_outcome(struct pending *p, enum sto_outcome o)
 {
 	struct sto *s = p->s;
--- a/lib/store/sto.h
+++ b/lib/store/sto.h
@@ -51,7 +51,7 @@
 
 struct sto_condition {
 	const char *key;
-	int64_t revision; /* version of the key; 0: it must not exist */
+	int64_t revision; /* version that the key must have; 0: no key */
 };
 
 struct sto_call {
@@ -94,9 +94,9 @@
 	int64_t asked_ms; /* monotonic time before the call was sent */
 	int64_t era;	  /* of the answer; -1: no answer */
 	int64_t revision; /* version of the store, or of the write */
-	int64_t lease;
-	int ttl_ms;
-	bool more; /* LIST: further pages follow */
+	int64_t lease;	  /* LEASE_GRANT: id of the new lease */
+	int ttl_ms;	  /* LEASE_GRANT: time to live granted */
+	bool more;	  /* LIST: further pages follow */
 	struct sto_item *items;
 	size_t nr_items;
 	const char *raw; /* WATCH: the body as received, maybe compressed */
@@ -195,10 +195,10 @@
 bool sto_direct_ok(const struct sto *s);
 
 /*
- * Monotonic time in ms at which the store was last reachable again after an
- * outage, in which no call, direct or relayed, succeeded for so long that
- * endpoints' entries may have expired; 0: never. A store that refuses only this
- * machine is no outage: relayed calls succeed.
+ * Monotonic time in ms at which the last outage of the store ended; 0: there
+ * was none. In an outage no call, direct or relayed, succeeds for long enough
+ * that the endpoints' keys in the store may expire. A store that refuses only
+ * this machine is no outage: relayed calls succeed.
  */
 int64_t sto_recovered_ms(const struct sto *s);
 
--- a/tests/test_mir.c
+++ b/tests/test_mir.c
@@ -240,10 +240,10 @@
 }
 
 /*
- * Guards against an entry that misses a document for eight seconds: it followed
- * an entry that had itself begun to follow another one, so that its feed got no
- * more changes, which read as "unchanged". A feed without a watch must report a
- * gap.
+ * Guards against an entry that misses a document for eight seconds: the entry
+ * that it followed had begun to follow another one itself. The feed of the
+ * followed entry got no more changes, which read as "unchanged". A feed without
+ * a watch must report a gap.
  */
 static void feed_without_watch_is_a_gap(void)
 {
@@ -316,10 +316,10 @@
 
 /*
  * Guards against followers that learn late that an endpoint is draining: the
- * watch of their watcher was stalled, but it answered "unchanged" because other
- * calls of its own to the store succeeded. If an endpoint's drain is written
- * when the watch stalls, followers must know it within two seconds, so they
- * must be refused early enough to read from the store themselves.
+ * followed entry's watch was stalled, but the entry answered "unchanged"
+ * because its other calls to the store succeeded. If an endpoint's drain is
+ * written when the watch stalls, followers must learn of it within two seconds,
+ * so they must be refused early enough to read from the store themselves.
  */
 static void feed_of_stalled_watch_is_not_current(void)
 {
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -215,22 +215,23 @@
 {
 	struct entry *e = &w.e[i];
 	const struct entry *leader = &w.e[e->leader];
-	const struct feed_batch *part = NULL;
+	const struct feed_batch *batch = NULL;
 	const int64_t from = e->mir.revision;
 	enum feed_answer answer = FEED_GAP;
 
 	if (!leader->following)
-		answer = feed_after(&leader->feed, from, &part);
+		answer = feed_after(&leader->feed, from, &batch);
 	if (answer == FEED_GAP) {
 		fail_follow(e, now);
 		return;
 	}
 	if (answer == FEED_UNCHANGED && now - e->call_start_ms < FOLLOW_WAIT_MS)
 		return;
-	if (part)
+	if (batch)
 		deliver_registrations(i, from, true);
-	feed_add(&e->feed, from, part ? part->to : from, part != NULL, "c", 1);
-	mir_watch_end(&e->mir, false, part ? part->to : from, now);
+	feed_add(&e->feed, from, batch ? batch->to : from, batch != NULL, "c",
+		 1);
+	mir_watch_end(&e->mir, false, batch ? batch->to : from, now);
 	e->pending_call = NO_CALL;
 }
 
