--- a/lib/member/advertise.c
+++ b/lib/member/advertise.c
@@ -4,8 +4,8 @@
  * Requests per second. A request costs an entry about 0.7 ms of CPU time, and
  * the smallest instances have 0.12 of a CPU: at this rate they can still serve
  * a burst of five times the rate. A lower rate would spread an account's limit
- * over more entries, and what these admit before gossip has told them of each
- * other's admissions adds up.
+ * over more entries, and the requests that these admit before they learn of
+ * each other's admissions by gossip add up.
  */
 #define REQUESTS_PER_S_PER_ENTRY 24.0
 
--- a/lib/member/advertise.h
+++ b/lib/member/advertise.h
@@ -1,5 +1,5 @@
 /*
- * named: how many entries are named (advertised) to clients.
+ * advertise: how many entries are advertised to clients.
  *
  * A client picks one of the advertised addresses at random. If every entry of a
  * large fleet were advertised, each would see too few requests: it could not
@@ -14,8 +14,8 @@
 #include <stddef.h>
 
 /*
- * Returns how many of `accepting` entries, those that accept requests, to
- * advertise for a fleet-wide load of `requests_per_s`. At most `accepting`.
+ * Returns how many entries to advertise if `accepting` of them accept requests
+ * and the load of the whole fleet is `requests_per_s`. At most `accepting`.
  */
 size_t advertise_count(double requests_per_s, size_t accepting);
 
--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -1,5 +1,6 @@
 /*
- * gsp (gossip): the datagram that entries send each other, encoded in XDR.
+ * gsp (gossip): the datagram that entries (the processes that accept client
+ * requests) send each other, encoded in XDR.
  *
  * A datagram holds the sender's own state and, for this receiver alone, an
  * echo of the last datagram that the sender got from it. The echo carries the
@@ -30,7 +31,7 @@
 
 #define GSP_MAX_BYTES 8192 /* of an encoded datagram */
 
-/* Demand of a client account at the sender. */
+/* Demand of a client account at the sender, in the unit of its limit. */
 struct gsp_demand {
 	char account[GSP_NAME_SIZE];
 	double per_s;
@@ -46,12 +47,12 @@
 /* Runs of an account in a usage window, as counted by one entry. */
 struct gsp_count {
 	uint64_t source; /* hash of the counting entry's name and boot */
-	int64_t window;
+	int64_t window;	 /* its number */
 	char account[GSP_NAME_SIZE];
 	int64_t runs;
 };
 
-/* The sender's load on a service and what it learned from its answers. */
+/* The sender's load on a service, and its estimates from that one's answers. */
 struct gsp_service {
 	double prefill_tokens_per_s; /* prompt tokens of the sender's requests
 				      * that need prefill */
@@ -114,8 +115,9 @@
  * `r` is then undefined.
  *
  * Releases of different age run side by side while the fleet is upgraded.
- * Earlier ones omit the fields from store_era on, or from the tallies on; they
- * ignore these fields when they receive them. Absent rows are decoded as none.
+ * Datagrams of earlier ones end before the roll-outs (tallies, rolled_back), or
+ * before store_era and fatal already; what is absent is decoded as 0 or none.
+ * Earlier releases ignore the parts that they do not know.
  */
 bool gsp_decode(struct gsp_record *r, const char *in, size_t len);
 
--- a/lib/member/prs.h
+++ b/lib/member/prs.h
@@ -1,6 +1,6 @@
 /*
- * prs (peers): the table of the other entries: which are registered, when each
- * was last heard from, and the last state that it sent.
+ * prs (peers): the table of the other entries: which are registered, and the
+ * last datagram of each with the time at which it arrived.
  *
  * The registration in the store tells that an entry exists; its datagrams tell
  * that it is alive and accepts requests. An entry that still sends datagrams
@@ -21,7 +21,7 @@
 
 /*
  * ms without a datagram after which an entry is no longer advertised to
- * clients. It is either gone or five datagrams in a row were lost, which has a
+ * clients: either it is down, or five datagrams in a row were lost, which has a
  * probability of 1 in 40 million at 3 % loss.
  */
 #define PRS_ALIVE_MS 1000
@@ -54,7 +54,7 @@
 	int64_t stamp_ms; /* of its newest datagram, to be echoed */
 	bool accepting, store_ok;
 	bool collects_counts;	 /* is sent all usage counts */
-	int64_t clock_offset_ms; /* its estimate of the time of day - ours */
+	int64_t clock_offset_ms; /* its time-of-day estimate minus ours */
 	int64_t counts_true_ms;	 /* its time of day when it last sent counts */
 	struct gsp_record *last; /* its newest datagram; NULL: none */
 };
@@ -91,7 +91,8 @@
 /*
  * Returns the time on our clock at which r->cfg_version was, at the earliest,
  * confirmed as the newest configuration. It is computed from the echo of our
- * own timestamp. 0 if `r` does not tell or does not echo `my_boot`.
+ * own timestamp. 0 if `r` has no confirmation or no echo of a datagram of this
+ * process (`my_boot`).
  */
 int64_t prs_config_confirmed_ms(const struct gsp_record *r, uint64_t my_boot);
 
@@ -104,13 +105,14 @@
 
 /*
  * Returns the number of entries that may be running, this one included: those
- * registered or heard from within PRS_EXPIRE_MS. They share the limits.
+ * that are registered, or whose last datagram arrived within PRS_EXPIRE_MS.
+ * They share the limits.
  */
 unsigned prs_count_running(const struct prs *p, int64_t now_ms);
 
 /*
- * Frees the peers that were neither registered nor heard from for
- * PRS_EXPIRE_MS.
+ * Frees the peers that have not been registered for PRS_EXPIRE_MS and whose
+ * last datagram is older than that.
  */
 void prs_expire(struct prs *p, int64_t now_ms);
 
--- a/lib/member/rank.h
+++ b/lib/member/rank.h
@@ -23,8 +23,8 @@
 
 struct rank_row {
 	const char *zone;
-	void *entry; /* opaque; may be NULL */
-	uint64_t weight;
+	void *entry;	    /* opaque; may be NULL */
+	uint64_t weight;    /* hash of the name; the best have the lowest */
 	unsigned zone_rank; /* 0: first of its zone; set by
 			     * rank_interleave_zones() */
 };
@@ -57,8 +57,8 @@
 
 /*
  * Assigns `key` to one of the first `n` rows (n >= 1) by rendezvous hashing.
- * When a row is removed or added, only the keys that it had or gets move; with
- * the remainder of the key by `n` nearly all would.
+ * When a row is removed or added, only the keys that were or will be assigned
+ * to it move; with `key` modulo `n` nearly all would.
  */
 const struct rank_row *rank_for_key(const struct rank *r, size_t n,
 				    uint64_t key);
--- a/lib/member/swim.h
+++ b/lib/member/swim.h
@@ -113,8 +113,8 @@
 size_t swim_take_deltas(struct swim *s, struct swim_delta *out, size_t max);
 
 /*
- * Writes up to `max` deltas with all that is known, this entry included and
- * dead ones left out, for a peer that joins. Returns their number.
+ * Writes up to `max` deltas for a peer that joins: the states of this entry and
+ * of all peers that are not dead. Returns their number.
  */
 size_t swim_snapshot(const struct swim *s, struct swim_delta *out, size_t max);
 
@@ -122,8 +122,8 @@
 enum swim_state swim_state_of(const struct swim *s, uint64_t id);
 
 /*
- * Writes what is known of a peer's incarnation. Returns false, with `out`
- * untouched, if nothing is.
+ * Writes the state of a peer's incarnation to `out`. Returns false, with `out`
+ * untouched, if it is unknown.
  */
 bool swim_lookup(const struct swim *s, uint64_t id, struct swim_delta *out);
 
@@ -136,10 +136,10 @@
 /* Writes up to `max` random peers that are alive. Returns their number. */
 size_t swim_pick(struct swim *s, struct view_member *out, size_t max);
 
-/* A counter that changes with every change of a known entry's state. */
+/* Returns a counter that rises with each change of an entry's state. */
 uint64_t swim_epoch(const struct swim *s);
 
-/* Time of the last acknowledgement from any peer; -1 if there was none. */
+/* Returns the time of the last acknowledgement by any peer; -1: none. */
 int64_t swim_last_contact(const struct swim *s);
 
 #endif
--- a/lib/member/view.c
+++ b/lib/member/view.c
@@ -67,8 +67,9 @@
 }
 
 /*
- * The reserve is not one of the judges, so that after a hand-over no instance
- * has the votes of two judges as long as there is another instance.
+ * Chooses the judges and the reserve of a slot. The reserve is not one of the
+ * judges, so that after a handover no instance has the votes of two judges as
+ * long as there is another instance.
  */
 static void fill_slot(struct view *v, unsigned slot, uint64_t *weights)
 {
--- a/lib/member/view.h
+++ b/lib/member/view.h
@@ -4,13 +4,14 @@
  *
  * Views are written by compare-and-swap to the key-value service and spread
  * between peers. Each view has a table of slots. A slot has three judges (the
- * members that vote on the claims that fall into the slot), in three
- * availability zones if there are three, and a reserve that takes over the
- * votes of a judge that leaves. The table is a function of the members alone,
- * so every process computes the same one, and a look-up costs the same with 8
- * members as with 900.
+ * members that vote on the claims of the slot's request keys; claim/judge.h),
+ * in three availability zones if there are three, and a reserve that takes over
+ * the votes of a judge that leaves. The table is a function of the members
+ * alone, so every process computes the same one, and a look-up costs the same
+ * with 8 members as with 900.
  *
- * Lifetime: a view is kept until no grant can refer to its number any more.
+ * A view is kept until no grant (claim/grant.h) can refer to its number any
+ * more.
  */
 #ifndef VIEW_H
 #define VIEW_H
@@ -34,7 +35,7 @@
 
 /*
  * Slots per view. With 900 members each is a judge of about 14 slots, which
- * keeps the busiest one within about twice the mean load (measured in bench).
+ * keeps the load of the busiest one within about twice the mean.
  */
 #define VIEW_SLOTS 4096
 
@@ -87,7 +88,7 @@
 const struct view_member *view_find_name(const struct view *v,
 					 const char *name);
 
-/* Returns the slot of a grant, by its nonce: 0 to VIEW_SLOTS - 1. */
+/* Returns the slot of a grant with this nonce: 0 to VIEW_SLOTS - 1. */
 unsigned view_slot_of(const char *nonce);
 
 /* True if `a` and `b` have the same incarnations as members. */
