--- a/lib/claim/claim.h
+++ b/lib/claim/claim.h
@@ -19,7 +19,7 @@
 	CLAIM_UNKNOWN, /* too few judges answered to decide */
 };
 
-/* What is known of the vote of one judge. */
+/* State of the vote of one judge, as received so far. */
 enum claim_vote_state {
 	CLAIM_AWAITED,
 	CLAIM_VOTED,
@@ -27,11 +27,11 @@
 };
 
 struct claim {
-	uint64_t self;
+	uint64_t self; /* incarnation of this entry */
 	unsigned nr_judges;
 	enum claim_vote_state state[VIEW_JUDGES]; /* by judge index */
 	uint64_t voted_for[VIEW_JUDGES];	  /* valid with CLAIM_VOTED */
-	bool expired;
+	bool expired; /* a judge refused with JUDGE_EXPIRED */
 };
 
 /*
--- a/lib/claim/judge.h
+++ b/lib/claim/judge.h
@@ -36,7 +36,7 @@
 /* Reason of a refusal; JUDGE_OK with the other verdicts. */
 enum judge_reason {
 	JUDGE_OK,
-	JUDGE_UNKNOWN_VIEW, /* view not known here, not yet or no longer */
+	JUDGE_UNKNOWN_VIEW, /* view not received yet, or freed already */
 	JUDGE_NOT_MINE,	    /* this incarnation is not that judge */
 	JUDGE_EXPIRED,	    /* the lifetime of the key is over */
 	JUDGE_FULL,	    /* the limit on stored votes is reached */
@@ -50,7 +50,7 @@
 	char key[GRANT_KEY_MAX];
 	uint64_t view;
 	unsigned slot;
-	unsigned judge_index; /* which of the slot's judges is asked */
+	unsigned judge_index; /* index in view_slot.judge */
 	uint64_t claimant;    /* incarnation that wants to call an endpoint */
 	int64_t issued_ms;    /* ms since the Unix epoch, from the grant */
 };
@@ -103,8 +103,8 @@
 /*
  * Returns this entry's own votes of `view` for the slots whose reserve is the
  * incarnation `reserve`, and their number in `*n`. Must be called after
- * judge_stop. The caller frees the array. Repeated calls return the same
- * votes.
+ * judge_stop. The caller frees the array. Repeated calls return the same votes,
+ * so a retried handover sends what the first one sent.
  */
 struct judge_vote *judge_export(const struct judge *j, const struct view *view,
 				uint64_t reserve, size_t *n);
