--- a/lib/config/apply.c
+++ b/lib/config/apply.c
@@ -12,8 +12,8 @@
 
 struct stored {
 	bool exists;
-	int64_t mod_rev;
-	int64_t serial;
+	int64_t mod_rev; /* the service's revision of the key */
+	int64_t serial;	 /* revision of the document; 0: none */
 	char change[40];
 	char author[64];
 	struct buf text;
@@ -168,7 +168,7 @@
 		case BASE_UNREADABLE:
 			continue;
 		case BASE_CHANGED:
-			/* Our write can no longer succeed: final state. */
+			/* The condition can no longer hold: final state. */
 			apply_check(kv, c, out, e);
 			if (out->outcome != APPLY_UNKNOWN)
 				return;
@@ -249,7 +249,7 @@
 	} else if (!write_once(kv, c, &s, out, e)) {
 		buf_free(&s.text);
 		if (read_stored(kv, c->service, &s, e)) {
-			/* Our write failed; the other one is unreadable. */
+			/* Another write came first, but is unreadable. */
 			out->outcome = APPLY_CONFLICT;
 			return;
 		}
--- a/lib/config/apply.h
+++ b/lib/config/apply.h
@@ -2,8 +2,9 @@
  * apply: accepts an operator's change of a service's document, stored in the
  * key-value service.
  *
- * A change is accepted by one compare-and-swap against the revision that the
- * operator edited. Each change carries a unique id in the stored value, so
+ * A revision is the number of a service's accepted change, from 1. A change is
+ * accepted by one compare-and-swap against the revision that the operator
+ * edited. Each change carries a unique id in the stored value, so
  * that reading the value back after a lost answer shows whether the change was
  * accepted. While the value cannot be read, the outcome is unknown; it is
  * never reported as failed.
@@ -28,8 +29,8 @@
 
 struct apply_change {
 	char service[48];
-	char change_id[40]; /* unique; chosen by the caller */
-	char author[64];
+	char change_id[40]; /* unique; set by the caller */
+	char author[64];    /* the operator */
 	int64_t at_wall_ms; /* ms since the Unix epoch */
 	/* Revision that the operator edited; -1: any. */
 	int64_t base_revision;
--- a/lib/config/doc.h
+++ b/lib/config/doc.h
@@ -3,9 +3,8 @@
  * service's team maintains.
  *
  * docs/DOCUMENT.md is the reference. A parsed document is immutable and is
- * kept as long as its revision is in force somewhere (life span: version).
- * Validation is complete: a document that doc_parse accepts can be put into
- * force.
+ * kept as long as its revision is in force somewhere. Validation is complete: a
+ * document that doc_parse accepts can be put into force.
  */
 #ifndef DOC_H
 #define DOC_H
@@ -101,10 +100,10 @@
 	int64_t first_token_ms;	   /* target: time to first token */
 	int64_t between_tokens_ms; /* target: inter-token latency */
 	int64_t deadline_ms;	   /* from arrival to the last token */
-	double cost_weight;	   /* of the price; only validated so far */
-	double recompute_weight;   /* of the expected recomputation cost */
-	bool survive_zone_loss;	   /* capacity suffices without any one zone */
-	bool allow_reclaimable;	   /* spot instances may be used */
+	double cost_weight; /* of the price; only validated, not used yet */
+	double recompute_weight; /* of the expected recomputation cost */
+	bool survive_zone_loss;	 /* capacity suffices without any one zone */
+	bool allow_reclaimable;	 /* spot instances may be used */
 };
 
 /*
--- a/lib/config/set.h
+++ b/lib/config/set.h
@@ -1,6 +1,6 @@
 /*
- * set (settings): the settings of one process, read once at the start (life
- * span: process). docs/SETTINGS.md is the reference.
+ * set (settings): the settings of one process, read once at its start.
+ * docs/SETTINGS.md is the reference.
  */
 #ifndef SET_H
 #define SET_H
@@ -43,7 +43,7 @@
 	 */
 	int64_t cut_off_ms;
 	int64_t lease_s; /* duration of duty leases */
-	int64_t copy_ms; /* batch interval of token copies to the holder */
+	int64_t copy_ms; /* interval of token copies to another entry */
 };
 
 /*
--- a/lib/config/spread.h
+++ b/lib/config/spread.h
@@ -4,10 +4,10 @@
  *
  * Documents, views, endpoint tables and reclaim notices are items: a name, a
  * revision and a body. A process accepts an item from any source (key-value
- * service, control, peer) if its revision is higher than that of its own item
- * of this name; revisions never decrease. Peers compare digests on every probe
- * and exchange the items that differ; a new item is sent at once to a few
- * peers. This module has no I/O and no clock.
+ * service, control process, peer) if its revision is higher than that of its
+ * own item of this name; revisions never decrease. Peers compare digests on
+ * every probe and exchange the items that differ; a new item is sent at once to
+ * a few peers. This module has no I/O and no clock.
  */
 #ifndef SPREAD_H
 #define SPREAD_H
@@ -27,7 +27,7 @@
 	SPREAD_NEW,	 /* accepted, now in force */
 	SPREAD_SAME,	 /* identical to the item in force */
 	SPREAD_OLD,	 /* rejected: lower revision than that in force */
-	SPREAD_CONFLICT, /* rejected, alarm: same revision, other body */
+	SPREAD_CONFLICT, /* rejected, an alarm: same revision, other body */
 	SPREAD_INVALID,	 /* rejected: bad name or size, or the table is full */
 };
 
--- a/lib/config/vfy.h
+++ b/lib/config/vfy.h
@@ -71,10 +71,10 @@
 #define VFY_RETRY_MS 300
 
 /*
- * The same while the store contains no configuration: for the first watcher,
- * and for all others, which learn of the first version from its announcement.
- * This is the state at the first start of a fleet, when 295 entries made four
- * calls each until there was a configuration.
+ * The same while the store contains no configuration, for the first watcher and
+ * for all other entries. These learn of the first version from the watcher's
+ * announcement. This is the state at the first start of a fleet, when 295
+ * entries made four calls each until there was a configuration.
  */
 #define VFY_ABSENT_MS 2500
 #define VFY_ABSENT_OTHERS_MS 4000
@@ -126,8 +126,8 @@
 };
 
 /*
- * Returns the call to start now, which then counts as pending until one of the
- * functions below reports its result, or VFY_NONE. `*wait_ms` is set to the
+ * Returns the call to start now, or VFY_NONE. The call counts as pending until
+ * one of the functions below reports its result. `*wait_ms` is set to the
  * duration of the long poll for VFY_CHANGES, 0 for an immediate answer.
  */
 enum vfy_call vfy_next(struct vfy *v, const struct vfy_input *s, int64_t now_ms,
--- a/scripts/older_copy_test.sh
+++ b/scripts/older_copy_test.sh
@@ -2,7 +2,7 @@
 # The store is restored from an older copy, with real processes on a stand-in of
 # the platform. Order and counts are asserted, never times.
 #
-# Guards against entries that rely on what the store had said before a restore:
+# Guards against entries that rely on the store's state before a restore:
 # endpoints written after it were not used, an entry that had just started
 # served a version that was no longer in force, two holders acted under one
 # generation number (the fencing token of the duties), and a usage window was
@@ -12,10 +12,10 @@
 # and reports are written after it; the store is down for a moment and is
 # restored from the copy. Revisions are used again, and operators and endpoints
 # write their changes again a little later. "A higher revision is newer" and "an
-# acknowledged write is kept" then no longer hold. With the store's era in each
-# comparison, and with nothing taken as certain until others have had time to
-# write again, none of this happens; compared by revisions alone the generation
-# number goes back in this test.
+# acknowledged write is kept" then no longer hold. None of this happens if each
+# comparison includes the store's era, and if the store's answers confirm
+# nothing until operators and endpoints have had time to write again. If
+# revisions alone are compared, the generation number goes back in this test.
 cd "$(dirname "$0")/.." || exit 1
 EDGES=${EDGES:-5}
 EDGE_SERVICES_EACH=4
--- a/tests/test_vfy.c
+++ b/tests/test_vfy.c
@@ -5,9 +5,9 @@
 
 #define NEVER INT64_MAX
 
-static enum vfy_call next(struct vfy *v, int place, int64_t age, int64_t now)
+static enum vfy_call next(struct vfy *v, int rank, int64_t age, int64_t now)
 {
-	const struct vfy_input s = { .watcher_rank = place, .age_ms = age };
+	const struct vfy_input s = { .watcher_rank = rank, .age_ms = age };
 	int wait_ms;
 
 	return vfy_next(v, &s, now, &wait_ms);
@@ -28,8 +28,8 @@
 
 /*
  * At the first start of a fleet, when the store contains no configuration yet,
- * only the first watcher may call it often. Entries that retried as after a
- * failure made 1,100 calls from 295 entries.
+ * only the first watcher may call it often. When all of 295 entries retried as
+ * after a failure, they made 1,100 calls.
  */
 static void first_watcher_polls_empty_store(void)
 {
@@ -176,7 +176,7 @@
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, due + 20 + VFY_RETRY_MS, &wait_ms),
 			VFY_CHANGES);
 	vfy_received_version(&v, 9, true, due + 400);
-	/* So for the next version, but not while a client request waits. */
+	/* Likewise for the next version, unless a client request waits. */
 	s.announced_version = 9;
 	CU_ASSERT_EQUAL(vfy_next(&v, &s, due + 900, &wait_ms), VFY_PEER);
 	vfy_peer_failed(&v);
