--- a/lib/member/gsp.h
+++ b/lib/member/gsp.h
@@ -67,8 +67,8 @@
 
 struct gsp_record {
 	char name[GSP_NAME_SIZE];
-	uint64_t boot; /* random, drawn at the start of the process */
-	uint32_t seq;
+	uint64_t boot;	  /* random, drawn at the start of the process */
+	uint32_t seq;	  /* rises with each datagram of this boot */
 	int64_t stamp_ms; /* sender's clock, for the receiver's echo */
 	int64_t true_ms;  /* sender's estimate of the time of day */
 	bool accepting;	  /* accepts new requests */
--- a/lib/member/prs.h
+++ b/lib/member/prs.h
@@ -82,8 +82,8 @@
 
 /*
  * Records a received datagram (copied). `now_true_ms` is our estimate of the
- * time of day. Returns the sender, or NULL if it is unknown or has sent a newer
- * datagram; then nothing is recorded.
+ * time of day in ms. Returns the sender, or NULL if it is unknown or if the
+ * datagram is not newer than its last one; then nothing is recorded.
  */
 struct prs_peer *prs_receive(struct prs *p, const struct gsp_record *r,
 			     int64_t now_ms, int64_t now_true_ms);
--- a/lib/member/rank.h
+++ b/lib/member/rank.h
@@ -23,7 +23,7 @@
 
 struct rank_row {
 	const char *zone;
-	void *entry;	    /* opaque; may be NULL */
+	void *entry;	    /* the caller's; may be NULL, e.g. for itself */
 	uint64_t weight;    /* hash of the name; the best have the lowest */
 	unsigned zone_rank; /* 0: first of its zone; set by
 			     * rank_interleave_zones() */
--- a/lib/store/feed.h
+++ b/lib/store/feed.h
@@ -9,7 +9,7 @@
  * revision of its key, so a batch that begins before the revision that a
  * follower has can be sent whole.
  *
- * Reason: each answer of a watch is a priced call, and without followers every
+ * Reason: each answer of a watch is a billed call, and without followers every
  * entry gets one per change. With eight entries, following halved the calls;
  * with eighty that all watched, the calls cost a quarter of the value of the
  * day's requests.
--- a/lib/store/mir.h
+++ b/lib/store/mir.h
@@ -19,7 +19,7 @@
 
 /*
  * ms to wait after a watch has returned changes: changes come in bursts, and
- * each answer of a watch is a priced call.
+ * each answer of a watch is a billed call.
  */
 #define MIR_PACE_MS 400
 
--- a/lib/store/sto.h
+++ b/lib/store/sto.h
@@ -5,7 +5,7 @@
  * each change. Revisions are given here as versions (ver.h), since the store
  * may be restored from an older copy. A write whose answer is lost may have
  * been applied, or may be applied seconds later if its conditions still hold:
- * this is STO_UNKNOWN, and only reading back tells.
+ * this is STO_UNKNOWN, and only reading the keys back shows what happened.
  *
  * The codec (a vtable) has the names on the wire. This module chooses the route
  * of a call: directly to the store, or relayed by another entry when the store
