--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "edge/edge_internal.h"
-#include "member/advertise.h"
+#include "member/named.h"
 
 /*
  * Entries that are sent all usage counts, in addition to the duty holder. The
@@ -140,7 +140,7 @@
 	if (!r->n)
 		return registered_addresses(en, out, max);
 	rank_interleave_zones(r);
-	nr_advertised = advertise_count(total_request_rate(en, now), r->n);
+	nr_advertised = named_count(total_request_rate(en, now), r->n);
 	/* If not all fit into an answer, each answer has others. */
 	first = nr_advertised > max
 			? rnd_below(&en->rnd, (uint32_t)nr_advertised)
--- a/lib/member/advertise.c
+++ b/lib/member/named.c
@@ -1,4 +1,4 @@
-#include "member/advertise.h"
+#include "member/named.h"
 
 /*
  * Requests per second. A request costs an entry about 0.7 ms of CPU time, and
@@ -15,7 +15,7 @@
  */
 #define MIN_ADVERTISED 24
 
-size_t advertise_count(double requests_per_s, size_t accepting)
+size_t named_count(double requests_per_s, size_t accepting)
 {
 	const double need = requests_per_s / REQUESTS_PER_S_PER_ENTRY;
 	size_t n = MIN_ADVERTISED;
--- a/lib/member/advertise.h
+++ b/lib/member/named.h
@@ -1,5 +1,5 @@
 /*
- * advertise: how many entries are advertised to clients.
+ * named: how many entries are advertised to clients.
  *
  * A client picks one of the advertised addresses at random. If every entry of a
  * large fleet were advertised, each would see too few requests: it could not
@@ -8,8 +8,8 @@
  * So only as many entries are advertised as the load needs. The others are
  * ready to take over.
  */
-#ifndef ADVERTISE_H
-#define ADVERTISE_H
+#ifndef NAMED_H
+#define NAMED_H
 
 #include <stddef.h>
 
@@ -17,6 +17,6 @@
  * Returns how many entries to advertise if `accepting` of them accept requests
  * and the load of the whole fleet is `requests_per_s`. At most `accepting`.
  */
-size_t advertise_count(double requests_per_s, size_t accepting);
+size_t named_count(double requests_per_s, size_t accepting);
 
 #endif
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/rnd.h"
-#include "member/advertise.h"
+#include "member/named.h"
 #include "member/rank.h"
 #include "support/unit.h"
 
@@ -208,14 +208,14 @@
 /* A small fleet, a large one at low load, and the targeted peak load. */
 static void advertised_entries_follow_the_load(void)
 {
-	CU_ASSERT_EQUAL(advertise_count(0, 0), 0);
-	CU_ASSERT_EQUAL(advertise_count(50, 8), 8);
-	CU_ASSERT_EQUAL(advertise_count(0, 84), 24);
-	CU_ASSERT_EQUAL(advertise_count(330, 84), 24);
-	CU_ASSERT_EQUAL(advertise_count(800, 84), 34);
-	CU_ASSERT_EQUAL(advertise_count(1e9, 84), 84);
-	CU_ASSERT_EQUAL(advertise_count(27000, 900), 900);
-	CU_ASSERT_EQUAL(advertise_count(8000, 900), 334);
+	CU_ASSERT_EQUAL(named_count(0, 0), 0);
+	CU_ASSERT_EQUAL(named_count(50, 8), 8);
+	CU_ASSERT_EQUAL(named_count(0, 84), 24);
+	CU_ASSERT_EQUAL(named_count(330, 84), 24);
+	CU_ASSERT_EQUAL(named_count(800, 84), 34);
+	CU_ASSERT_EQUAL(named_count(1e9, 84), 84);
+	CU_ASSERT_EQUAL(named_count(27000, 900), 900);
+	CU_ASSERT_EQUAL(named_count(8000, 900), 334);
 }
 
 static const struct unit_test tests[] = {
