--- a/lib/edge/edge_fatal.c
+++ b/lib/edge/edge_fatal.c
@@ -84,7 +84,7 @@
 	static const char *const changes[] = {
 		[FATAL_SUSPECTED] = "suspected",
 		[FATAL_CONVICTED] = "convicted",
-		[FATAL_CRASHED_AGAIN] = "crashed another endpoint",
+		[FATAL_CRASHED_AGAIN] = "ended another",
 		[FATAL_EXPLAINED] = "explained",
 		[FATAL_CLEARED] = "cleared",
 	};
