--- a/lib/edge/edge_config.c
+++ b/lib/edge/edge_config.c
@@ -1,6 +1,7 @@
 /*
- * The configuration in force: reads it from the store or from the leader, and
- * confirms by calls to the store that it is the newest version (vfy.h).
+ * The configuration in force: reads it from the store or from another entry
+ * (the leader, see edge_watch.c), and confirms by calls to the store that it is
+ * the newest version (vfy.h).
  */
 #include "base/zip.h"
 #include "edge/edge_internal.h"
@@ -30,14 +31,18 @@
 /*
  * Puts a version into force. The last good version stays in force if the new
  * one cannot be decoded, or is older since the store was restored from an older
- * copy. Returns true if the version of `it` is in force.
+ * copy. `at_ms`: when the version was the newest; 0: not known. Returns true if
+ * the version of `it` is in force.
  */
 static bool apply_config(struct edge *en, const struct sto_item *it,
-			 int64_t asked_ms)
+			 int64_t at_ms)
 {
 	struct err e = ERR_INIT;
 	struct cfg *c = en->wire->decode_config(it->value, it->len, &e);
-	/* Not announced by another entry, and not the first one after start. */
+	/*
+	 * Other entries may lack a version that none of them announced. The
+	 * first version after the start is not announced.
+	 */
 	const bool announce = c && en->force.cfg &&
 			      c->version > en->force.newest_known_version;
 	int64_t version;
@@ -47,7 +52,7 @@
 		return false;
 	}
 	version = c->version;
-	if (force_offer(&en->force, c, asked_ms))
+	if (force_offer(&en->force, c, at_ms))
 		log_config(en, en->force.cfg, it->revision);
 	if (announce)
 		edge_peer_broadcast(en, edge_now(en));
@@ -102,8 +107,8 @@
 }
 
 /*
- * A version was received. `at_ms`: when it was the newest; 0: not known.
- * `from_watch`: `a` has the form of a watch's answer.
+ * Handles a received version. `at_ms`: as for apply_config. `from_watch`: `a`
+ * has the form of a watch's answer.
  */
 static void config_received(struct edge *en, const struct sto_answer *a,
 			    const struct sto_item *it, int64_t at_ms,
@@ -207,7 +212,7 @@
 			      .revision = en->vfy.revision };
 	enum vfy_call call;
 
-	/* The system keys tell whether the store has just been restored. */
+	/* The system keys show whether the store has just been restored. */
 	if (!en->force.cfg && !en->watches[EDGE_WATCH_SYSTEM].mirror.complete)
 		return;
 	call = vfy_next(&en->vfy, &s, now, &c.wait_ms);
--- a/lib/edge/edge_duty.c
+++ b/lib/edge/edge_duty.c
@@ -158,7 +158,10 @@
 	send_report(d);
 }
 
-/* The stored report is not known: schedules another write of the window. */
+/*
+ * It is unknown whether the store has the report: schedules another write of
+ * the same window.
+ */
 static void retry_write(struct edge_duty *d)
 {
 	d->report_state = REPORT_IDLE;
--- a/lib/edge/edge_duty_internal.h
+++ b/lib/edge/edge_duty_internal.h
@@ -33,15 +33,16 @@
 	bool reclaimable;	/* spot; false: on-demand */
 	int accepted_number;	/* of the last accepted order; -1: none */
 	int64_t accepted_ms;	/* when that was */
-	int64_t retry_after_ms; /* after a refusal: no order before */
+	int64_t retry_after_ms; /* after a refusal: no order before this time */
 };
 
 /* State of a service's scaling plan, kept from one evaluation to the next. */
 struct edge_plan {
 	char service[FLT_NAME];
 	struct scale_need need;
-	double firm_held;     /* minimum of on-demand endpoints; scale_ease */
-	int64_t firm_held_ms; /* when it was last updated */
+	/* Lower bound of on-demand endpoints, see scale_limit_drain(). */
+	double on_demand_held;
+	int64_t on_demand_held_ms; /* when it was last updated */
 };
 
 struct edge_duty {
@@ -52,15 +53,15 @@
 	enum edge_report_state report_state;
 	int64_t report_window;	  /* usage window of the current report */
 	struct buf report_counts; /* its encoded counts */
-	int64_t next_window;	  /* reported next; 0: not known */
-	int64_t next_attempt_ms;  /* reports are not written or sent before */
+	int64_t next_window;	  /* to be reported next; 0: not yet set */
+	int64_t next_attempt_ms;  /* no report is written or sent before */
 
 	struct edge_scale_order *orders;
 	size_t nr_orders;
 	bool call_is_order; /* the call in flight is an order */
 	/* That order; NULL: none, or orders were reset after it was sent. */
 	struct edge_scale_order *order_in_flight;
-	int ordered_number;	 /* number that it orders */
+	int ordered_number;	 /* endpoints that it asks for */
 	struct edge_plan *plans; /* one per service */
 	size_t nr_plans;
 	bool plan_write_in_flight;
@@ -72,15 +73,16 @@
 
 /*
  * True if a call of a duty may be sent now: this entry has held the duties for
- * LEAD_SETTLE_MS, and its lease is certain to run for LEAD_MARGIN_MS more.
+ * LEAD_SETTLE_MS, its lease is certain to run for LEAD_MARGIN_MS more, and the
+ * wait after a restore of the store is over.
  */
 bool edge_duty_may_act(const struct edge *en);
 
 /*
- * Starts a call to the platform with the whole request `wire`, which is taken
- * over. Call it right after edge_duty_may_act, whose result soon expires, and
- * only while no call is in flight. False: there was no socket, and nothing was
- * sent.
+ * Starts a call to the platform. `wire`: the whole HTTP request; ownership
+ * passes and it is left empty, also on failure. Call it right after
+ * edge_duty_may_act, whose result soon expires, and only while no call is in
+ * flight. Returns false if no socket could be opened; nothing was sent then.
  */
 bool edge_duty_call(struct edge_duty *d, struct buf *wire);
 
@@ -101,10 +103,13 @@
  */
 void edge_scale_reset(struct edge_duty *d);
 
-/* Forgets what was ordered for a service; its endpoints were replaced. */
+/*
+ * Discards the accepted orders of a service, so that its plan is ordered anew.
+ * To be called after its endpoints were replaced by those of another version.
+ */
 void edge_scale_reset_orders(struct edge_duty *d, const char *service);
 
-/* Number of endpoints that the service needs by its plan; 0: not known. */
+/* Number of endpoints that the service needs by its plan; 0: no plan yet. */
 double edge_scale_need(const struct edge_duty *d, const char *service);
 
 #endif
--- a/lib/edge/edge_lease.c
+++ b/lib/edge/edge_lease.c
@@ -8,9 +8,10 @@
 #include "edge/edge_internal.h"
 
 /*
- * Duration of the lease. Short, since look-ups return the address of an entry
- * that has exited until its lease expires. It is renewed three times in that
- * time; the store counts a renewal as a tenth of a read.
+ * Duration of the lease, and interval between renewals. Short, since look-ups
+ * return the address of an entry that has exited until its lease expires. A
+ * lease is renewed three times in its duration; the store counts a renewal as a
+ * tenth of a read.
  */
 #define LEASE_MS 3000
 #define RENEW_MS 900
--- a/lib/edge/edge_peer.c
+++ b/lib/edge/edge_peer.c
@@ -181,10 +181,13 @@
 	usage_each(&en->usage, from, add_dead_count, en);
 }
 
-/* Known suspects that are repeated in each datagram, after the new ones. */
+/*
+ * Suspected poison requests that each datagram repeats after the new ones
+ * (nr_fatal_news).
+ */
 #define REPEATED_SUSPECTS 2
 
-/* The peer may have just started, without models and suspects. */
+/* True if the peer may have just started, without models and suspects. */
 static bool is_new_peer(const struct prs_peer *p, int64_t now)
 {
 	return now - p->boot_seen_ms < NEW_PEER_MS;
@@ -209,7 +212,7 @@
 	if (!is_new_peer(p, now) &&
 	    fatal > en->nr_fatal_news + REPEATED_SUSPECTS)
 		en->gossip_out.nr_fatal = en->nr_fatal_news + REPEATED_SUSPECTS;
-	/* Drops rows if it does not fit, which long names may cause. */
+	/* If long names make the datagram too large, it has fewer rows. */
 	while (!(n = gsp_encode(&en->gossip_out, bytes, sizeof(bytes))) &&
 	       en->gossip_out.nr_counts + en->gossip_out.nr_loads) {
 		en->gossip_out.nr_counts /= 2;
@@ -266,10 +269,10 @@
 /* ---- Incoming datagrams ---- */
 
 /*
- * Adopts a peer's model of a service, if the service is configured: others must
- * not take up memory.
+ * Adopts a peer's model of a service if the service is configured; models of
+ * other services would only take up memory.
  */
-static void adopt_model(struct edge *en, const struct svc_snapshot *told)
+static void adopt_model(struct edge *en, const struct svc_snapshot *snapshot)
 {
 	const struct cfg *c = en->force.cfg;
 	size_t i;
@@ -277,9 +280,9 @@
 	if (!en->conf->policy.told_models)
 		return;
 	for (i = 0; c && i < c->nr_services; i++) {
-		if (hsh_str(c->services[i].name, 0) == told->service)
+		if (hsh_str(c->services[i].name, 0) == snapshot->service)
 			svc_adopt(edge_service_model(en, c->services[i].name),
-				  told);
+				  snapshot);
 	}
 }
 
@@ -361,9 +364,9 @@
 
 /*
  * Averages the prefill tokens that peers reported. A prefill takes some tens of
- * milliseconds, and reports come every few hundred: most reported prefills are
- * over, and most of those that wait were never reported. The mean over a few
- * seconds estimates how much usually waits.
+ * milliseconds, and a peer reports every few hundred: most reported prefills
+ * are over by now, and most that wait now were never reported. The mean over a
+ * few seconds estimates how many tokens usually wait.
  */
 static void smooth_loads(struct edge *en, int64_t now)
 {
@@ -468,7 +471,10 @@
 	    hsc_server_open(&en->peers, en->loop, &addr, &edge_peer_http_vtable,
 			    en, e))
 		return -1;
-	/* UDP uses the port of the listener, which may be chosen (port 0). */
+	/*
+	 * UDP uses the port of the TCP listener, which the kernel assigned if
+	 * the settings have port 0.
+	 */
 	hsc_server_address(&en->peers, en->peer_address,
 			   sizeof(en->peer_address));
 	if (ioc_address(en->peer_address, &addr, e))
--- a/lib/edge/edge_rank.c
+++ b/lib/edge/edge_rank.c
@@ -107,8 +107,8 @@
 }
 
 /*
- * The addresses of all registered entries. For the case that no live entry is
- * known: this entry may be the one that is cut off.
+ * The addresses of all registered entries. Returned if neither this entry nor a
+ * live peer accepts requests: this entry may be the one that is cut off.
  */
 static size_t registered_addresses(const struct edge *en, const char **out,
 				   size_t max)
@@ -141,7 +141,7 @@
 		return registered_addresses(en, out, max);
 	rank_interleave_zones(r);
 	nr_advertised = named_count(total_request_rate(en, now), r->n);
-	/* If not all fit into an answer, each answer has others. */
+	/* If not all fit into an answer, it begins at a random one of them. */
 	first = nr_advertised > max
 			? rnd_below(&en->rnd, (uint32_t)nr_advertised)
 			: 0;
--- a/lib/edge/edge_rollout.c
+++ b/lib/edge/edge_rollout.c
@@ -17,8 +17,8 @@
 #define LATE_MARGIN_MS 40.0
 
 /*
- * An entry sends no trial requests if its watch of the records is older: a
- * roll-back may have been missed.
+ * An entry sends no trial requests if its mirror of the records was last up to
+ * date longer ago than this: it may have missed a roll-back.
  */
 #define MAX_RECORD_AGE_MS 4500
 
@@ -271,7 +271,7 @@
 	return r->attempt.prefix_hash ? r->attempt.prefix_hash : r->content.lo;
 }
 
-/* True if the watch of the records is up to date. */
+/* True if the mirror of the records is recent enough for trial requests. */
 static bool records_fresh(const struct edge *en)
 {
 	const int64_t at = en->watches[EDGE_WATCH_SYSTEM].complete_ms;
--- a/lib/edge/edge_rollout.h
+++ b/lib/edge/edge_rollout.h
@@ -3,10 +3,10 @@
  * other files of the entry use them.
  *
  * Roll-outs are disabled if the settings have no exposure limit or no address
- * of the platform; all requests then go to the endpoints in use.
+ * of the platform; all requests then go to endpoints that are FLT_IN_USE.
  *
- * Keys and values are those of the store; values need no final NUL. `version`
- * is the version of the key.
+ * Keys (with their prefix) and values are those of the store; values need no
+ * final NUL. `version` is the version of the key.
  */
 #ifndef EDGE_ROLLOUT_H
 #define EDGE_ROLLOUT_H
--- a/lib/edge/edge_rollout_duty.c
+++ b/lib/edge/edge_rollout_duty.c
@@ -145,8 +145,8 @@
 
 /* ---- Decisions ---- */
 
-/* True if all orders were read since this entry holds the duties. */
-static bool orders_known(const struct edge *en)
+/* True if all orders were read after this entry became the duty holder. */
+static bool orders_are_read(const struct edge *en)
 {
 	const struct edge_watch *w = &en->watches[EDGE_WATCH_ROLLOUTS];
 
@@ -266,7 +266,7 @@
 	return accept_unordered(ro, sums, s, now);
 }
 
-static bool knows_service(const struct edge *en, const char *service)
+static bool service_is_configured(const struct edge *en, const char *service)
 {
 	return en->force.cfg && cfg_service(en->force.cfg, service);
 }
@@ -274,7 +274,7 @@
 /* Refuses orders for services that are not configured. */
 static void check_order(struct edge *en, struct edge_rollout *ro)
 {
-	if (!ro->order_valid || knows_service(en, ro->service))
+	if (!ro->order_valid || service_is_configured(en, ro->service))
 		return;
 	ro->order_valid = false;
 	str_copy(ro->order_error, "the configuration has no such service",
@@ -287,7 +287,7 @@
 	struct rol_observation s = { .counts = &counts };
 	struct endpoint_sums sums;
 
-	if (ro->writing || now < ro->next_write_ms || !orders_known(en) ||
+	if (ro->writing || now < ro->next_write_ms || !orders_are_read(en) ||
 	    !edge_duty_may_act(en))
 		return;
 	if (ro->ordered && en->force.cfg)
@@ -347,7 +347,10 @@
 
 void edge_rollout_order_deleted(struct edge *en, const char *key)
 {
-	/* The restored store may have lost it; operators write it again. */
+	/*
+	 * A restored store may have lost the order; its operator then writes it
+	 * again.
+	 */
 	if (en->watches[EDGE_WATCH_ROLLOUTS].resyncing)
 		return;
 	edge_rollout_of(en, key + strlen(en->wire->rollout_prefix))->ordered =
--- a/lib/edge/edge_scale.c
+++ b/lib/edge/edge_scale.c
@@ -10,8 +10,8 @@
 #include "edge/edge_rollout.h"
 
 /*
- * Granted endpoints that are not listed this long after their start-up time
- * count as missing.
+ * Endpoints of an accepted order that are not listed this long after their
+ * start-up time (scaling.boot_ms) count as missing and are ordered again.
  */
 #define START_MARGIN_MS 1000
 
@@ -20,7 +20,10 @@
 
 /* ---- Orders ---- */
 
-/* Returns the row of these orders, created on first use. */
+/*
+ * Returns the orders for one kind of endpoints of a service in a zone, created
+ * on first use. The pointer is valid until others are created.
+ */
 static struct edge_scale_order *get_order(struct edge_duty *d,
 					  const char *service, const char *zone,
 					  bool reclaimable)
@@ -45,7 +48,7 @@
 	return o;
 }
 
-/* Returns the plan of a service, created on first use. */
+/* Returns the plan of a service, created on first use; valid as get_order. */
 static struct edge_plan *get_plan(struct edge_duty *d, const char *service,
 				  int64_t now)
 {
@@ -62,14 +65,14 @@
 	plan = &d->plans[d->nr_plans++];
 	memset(plan, 0, sizeof(*plan));
 	str_copy(plan->service, service, sizeof(plan->service));
-	plan->firm_held_ms = now;
+	plan->on_demand_held_ms = now;
 	/* Continues the plan of the former holder, from the store. */
 	former = d->en->conf->policy.carry_plan
 			 ? saved_plan_find(&d->en->plan, service)
 			 : NULL;
 	if (former) {
 		plan->need = former->need;
-		plan->firm_held = former->on_demand_held;
+		plan->on_demand_held = former->on_demand_held;
 	}
 	jlog_begin(d->en->log, JLOG_INFO, "plan_begun");
 	jlog_str(d->en->log, "service", service);
@@ -192,9 +195,9 @@
 
 /* The load of a service's endpoints, over all entries. */
 struct edge_service_load {
-	double runs;  /* requests that run */
+	double runs;  /* requests in flight */
 	int usable;   /* endpoints that get new requests */
-	double slots; /* of one endpoint */
+	double slots; /* requests that one endpoint runs at once */
 };
 
 static struct edge_service_load sum_service_load(struct edge *en,
@@ -260,7 +263,7 @@
 	return svc_slope_mean(&mean);
 }
 
-/* Number of endpoints that the known load keeps busy. */
+/* Estimates the number of endpoints that the service's load keeps busy. */
 static double busy_endpoints(struct edge *en, const struct cfg_service *s,
 			     const struct edge_service_load *w)
 {
@@ -287,7 +290,10 @@
 	return o->accepted_number - there;
 }
 
-/* Endpoints of other versions are counted separately, not in the plan. */
+/*
+ * Adds an endpoint to the counts of its zone. Endpoints of other versions are
+ * counted separately, since the plan does not include them.
+ */
 static void count_endpoint(const struct edge *en, struct scale_zone *z,
 			   const struct flt_endpoint *e)
 {
@@ -388,23 +394,25 @@
 
 /*
  * Plans again with a higher minimum if on-demand endpoints would be removed too
- * fast (scale_ease).
+ * fast (scale_limit_drain).
  */
-static void limit_firm_removal(struct edge_plan *plan, struct scale_input *in,
-			       struct scale_zone *zones, size_t n)
+static void limit_on_demand_removal(struct edge_plan *plan,
+				    struct scale_input *in,
+				    struct scale_zone *zones, size_t n)
 {
 	int wanted = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++)
 		wanted += zones[i].want_on_demand;
-	plan->firm_held =
+	plan->on_demand_held =
 		in->no_load_yet || !in->ease
 			? wanted
-			: scale_limit_drain(plan->firm_held, wanted,
-					    in->now_ms - plan->firm_held_ms);
-	plan->firm_held_ms = in->now_ms;
-	in->min_on_demand = (int)plan->firm_held;
+			: scale_limit_drain(plan->on_demand_held, wanted,
+					    in->now_ms -
+						    plan->on_demand_held_ms);
+	plan->on_demand_held_ms = in->now_ms;
+	in->min_on_demand = (int)plan->on_demand_held;
 	if (in->min_on_demand > wanted)
 		scale_plan(in, zones, n);
 }
@@ -432,7 +440,7 @@
 	/* At least one per zone, so that each zone keeps a prompt cache. */
 	in.need = plan->need.need < (double)n ? (double)n : plan->need.need;
 	scale_plan(&in, zones, n);
-	limit_firm_removal(plan, &in, zones, n);
+	limit_on_demand_removal(plan, &in, zones, n);
 	/* Additions are ordered before removals. */
 	for (i = 0; i < n; i++) {
 		if (zones[i].want_spot > zones[i].spot &&
@@ -494,7 +502,7 @@
 		if (!row)
 			break;
 		row->need = d->plans[i].need;
-		row->on_demand_held = d->plans[i].firm_held;
+		row->on_demand_held = d->plans[i].on_demand_held;
 	}
 	if (!plan.nr_rows || !saved_plan_differs(&plan, &d->en->plan))
 		return;
--- a/lib/edge/edge_store.c
+++ b/lib/edge/edge_store.c
@@ -12,8 +12,8 @@
 #include "edge/edge_rollout.h"
 
 /*
- * Answers that are at least this late or large are logged. Neither happens more
- * than a few times per second.
+ * Answers that are at least this late (without the wait of a watch) or this
+ * large are logged. Neither happens more than a few times per second.
  */
 #define SLOW_ANSWER_MS 300
 #define LARGE_ANSWER_BYTES (64u << 10)
--- a/lib/edge/edge_watch.c
+++ b/lib/edge/edge_watch.c
@@ -1,6 +1,7 @@
 /*
- * Watches of the store's keys, sent to the store or, as a follower, to another
- * entry (the leader) that passes on the answers of its own watch.
+ * Watches of the store's keys. They are sent to the store or, by a follower, to
+ * another entry (its leader, which need not be the duty holder) that passes on
+ * the answers of its own watch.
  */
 #include <assert.h>
 
@@ -8,15 +9,17 @@
 #include "edge/edge_internal.h"
 
 /*
- * How long the store holds a watch without changes. A stalled watch, or a
+ * How long the store holds a watch without changes, ms. A stalled watch, or a
  * silent connection, is noticed only after that time.
  *
- * For endpoints it is a third of the time after which a draining endpoint must
- * get no new requests (bounds.drain_ms). With the pause between two watches,
- * MAX_DIRECT_AGE_MS, and the call that a follower then sends to the store
- * itself, the list is at most 1.6 s old where 2 s are allowed, and 2 s where
- * 3 s are. The system keys are less urgent, since entries are also known by
- * gossip: their watch has the maximum, which bounds that of endpoints, too.
+ * For endpoints it is a third of bounds.drain_ms, the time after which a
+ * draining endpoint must get no new requests. The list of endpoints is then at
+ * most 1.6 s old if drain_ms is 2 s, and 2 s if it is 3 s; this includes the
+ * pause between two watches, MAX_DIRECT_AGE_MS, and the call that a follower
+ * then sends to the store itself.
+ *
+ * The watch of the system keys has the maximum, MAX_WAIT_MS. These keys are
+ * less urgent, since gossip also shows which entries are alive.
  */
 #define ENDPOINTS_WAIT_DIVISOR 3
 #define MIN_ENDPOINTS_WAIT_MS 300
@@ -33,8 +36,9 @@
 #define FOLLOW_MARGIN_MS 400
 
 /*
- * How long the store is watched directly after a leader was lost, or after it
- * did not have the changes that this entry lacks; those take a single watch.
+ * How long a follower watches the store directly: after it lost its leader, or
+ * after its leader did not have the changes that it needs. The latter takes a
+ * single watch.
  */
 #define LEADER_LOST_BACKOFF_MS 2000
 #define LEADER_BEHIND_BACKOFF_MS 200
@@ -272,7 +276,10 @@
 {
 	struct sto_call c = { .key = w->prefix };
 
-	/* Another call may have shown a new era; one in flight ends first. */
+	/*
+	 * An answer to another call may have shown a new era. If a call of this
+	 * watch is in flight, its callback checks that.
+	 */
 	if (!w->mirror.call_pending && w->mirror.complete && !w->resyncing)
 		check_era(w, now);
 	if (w->mirror.state == MIR_WATCH && !may_watch(w, now))
--- a/lib/edge/explain.c
+++ b/lib/edge/explain.c
@@ -66,7 +66,7 @@
 	};
 }
 
-/* Events that show what an entry knew when it handled the request. */
+/* Events that may explain how an entry handled a request. */
 static bool is_context(const char *event)
 {
 	static const char *const events[] = {
@@ -176,18 +176,18 @@
 	       strcmp(outcome, "answered");
 }
 
-/* Writes how the send ended, and the last known change of its endpoint. */
+/* Writes how the send ended, and the last change of its endpoint before. */
 static void write_endpoint_cause(const struct explain *x,
 				 const struct log_line *send, struct buf *out)
 {
 	const char *id = jsn_str(send->o, "endpoint", "");
-	const struct log_line *known =
+	const struct log_line *change =
 		last_before(x, send->time, is_endpoint_change, id);
 
 	buf_fmt(out, "cause: endpoint %s: %s\n", id,
 		jsn_str(send->o, "outcome", ""));
-	if (known)
-		write_line(out, known);
+	if (change)
+		write_line(out, change);
 }
 
 static void write_cause(const struct explain *x, const struct log_line *end,
--- a/lib/edge/explain.h
+++ b/lib/edge/explain.h
@@ -16,11 +16,14 @@
 
 struct explain;
 
-/* Starts a search for a request; the id is copied. */
+/*
+ * Starts a search for the request with this attempt id, which is copied. Free
+ * the result with explain_free().
+ */
 struct explain *explain_create(const char *request_id);
 void explain_free(struct explain *x);
 
-/* Adds a line. Lines that are not log lines are counted and skipped. */
+/* Adds a line, copied. Lines that are not log lines are counted and skipped. */
 void explain_line(struct explain *x, const char *line);
 
 /* Number of skipped lines, without empty ones. */
--- a/lib/edge/losses.c
+++ b/lib/edge/losses.c
@@ -231,7 +231,7 @@
 	return r;
 }
 
-/* Invalid requests, and those that their caller left, are no losses. */
+/* Invalid requests and requests abandoned by their caller are no losses. */
 static bool is_loss(enum outcome o)
 {
 	return o != SERVED && o != DENIED && o != ABANDONED;
@@ -294,7 +294,10 @@
 	}
 }
 
-/* The endpoint with most of the losses for this reason; NULL: none. */
+/*
+ * The endpoint with most of the losses for this reason; NULL: none.
+ * `endpoints`: rows named "REASON\tENDPOINT".
+ */
 static const struct row *worst_endpoint(struct row *endpoints,
 					const char *reason)
 {
--- a/lib/edge/losses.h
+++ b/lib/edge/losses.h
@@ -3,8 +3,9 @@
  * second, from the log lines of all entries.
  *
  * One line states the end of a request: its answer was passed on, the entry
- * answered it itself, its stream was cut, or the caller left. If a request was
- * sent and has no such line, its entry exited during the request.
+ * answered it itself, its stream was cut, or the caller closed the connection.
+ * If a request was sent and has no such line, its entry exited during the
+ * request.
  *
  * A request whose answer was passed on is late if its first event, or its whole
  * answer if it is no stream, came after the route's objective, or if a pause of
@@ -21,6 +22,7 @@
 
 struct losses;
 
+/* Free the result with losses_free(). */
 struct losses *losses_create(void);
 void losses_free(struct losses *l);
 
--- a/tests/test_losses.c
+++ b/tests/test_losses.c
@@ -68,7 +68,7 @@
 	BUF_AUTO out = BUF_INIT;
 
 	report(&out);
-	/* a; b, c, d late; f refused; e failed; i cut; h without end; j left. */
+	/* a; b, c, d late; f refused; e failed; i cut; h no end; j left. */
 	CU_ASSERT(has(&out, "ask                              9       1     "
 			    "3        1       1    1                     1  "
 			    "     0               1\n"));
@@ -102,7 +102,7 @@
 	CU_ASSERT_FALSE(has(&out, "2026-01-11T12:26:01\n"));
 }
 
-static void nothing_is_no_request(void)
+static void report_of_no_lines(void)
 {
 	struct losses *l = losses_create();
 	BUF_AUTO out = BUF_INIT;
@@ -115,7 +115,7 @@
 	{ "requests are counted once", requests_are_counted_once },
 	{ "reasons name the worst endpoint", reasons_name_the_worst_endpoint },
 	{ "seconds are ranked", seconds_are_ranked },
-	{ "nothing is no request", nothing_is_no_request },
+	{ "a report of no lines", report_of_no_lines },
 };
 
 UNIT_MAIN("losses", tests)
