--- a/lib/entry/ent_admit.c
+++ b/lib/entry/ent_admit.c
@@ -1,6 +1,6 @@
 /*
- * Admission of requests, and the queue of those that wait for room at an
- * endpoint. The decisions are made by admit and wfq.
+ * Admission of requests, and each model's wait queue for requests that no
+ * endpoint has room for. The decisions are made by limit/admit and limit/wfq.
  */
 #include "entry/entry_internal.h"
 
@@ -11,10 +11,9 @@
 #include "base/pub.h"
 
 /*
- * Maximum wait of a request for its start, as a multiple of the model's target
- * for the time to first token. An interactive request that would miss the
- * target is refused at once; a batch request can wait longer. Both were
- * measured, see docs/design/limits.md.
+ * Maximum time to first token that admission accepts, as a multiple of the
+ * model's target. An interactive request that would miss the target is refused
+ * at once; a batch request can wait longer. See docs/design/limits.md.
  */
 #define MAX_WAIT_FACTOR_INTERACTIVE 1
 #define MAX_WAIT_FACTOR_BATCH 8
@@ -31,10 +30,10 @@
 /* ---- Admission ---- */
 
 /*
- * Estimates how long the new request `rq` would be queued, in ms. The
- * throughput of the tracked subset of endpoints is extrapolated to all
- * endpoints, and `entries` entries are assumed to use equal parts of it. The
- * model's lock is held.
+ * Estimates how long the new request `rq` would be queued, in ms; 0 if the
+ * throughput is unknown. The throughput of the tracked subset of endpoints is
+ * extrapolated to all endpoints, and `entries` entries are assumed to use equal
+ * parts of it. The model's lock is held.
  */
 static double queue_wait_ms(const struct ent_req *rq, size_t entries)
 {
@@ -169,11 +168,11 @@
 	atomic_fetch_add(&rq->acct->in_flight, 1);
 	pthread_mutex_lock(&rq->lock);
 	rq->start_by_ms = now + MAX_WAIT_FACTOR_BATCH * f.wait_limit_ms;
+	/* Queued until a start would exceed the limit on the first token. */
 	if (r.verdict == ADMIT_GO) {
 		ent_route_and_call(rq);
 	} else if (!enqueue(rq,
 			    now + f.wait_limit_ms - (int64_t)f.predicted_ms)) {
-		/* After that time the first token would be late anyway. */
 		ent_give_up(rq, "queue-full");
 	} else {
 		ent_req_log(rq, "queue depth=%zu wait_ms=%.0f", f.queued,
@@ -215,7 +214,7 @@
  * True if requests are queued and an endpoint has room for at least a small
  * one (64 prompt tokens, 64 to generate).
  */
-static bool has_room(struct entry *en, struct ent_model *m)
+static bool can_dispatch(struct entry *en, struct ent_model *m)
 {
 	struct route_query query = { .max_tokens = 64, .prompt_tokens = 64 };
 	bool room;
@@ -232,7 +231,7 @@
 void ent_dispatch_queue(struct entry *en, struct ent_model *m)
 {
 	drop_expired(en, m);
-	while (has_room(en, m)) {
+	while (can_dispatch(en, m)) {
 		struct wfq_item *it;
 		struct ent_req *rq;
 
--- a/lib/entry/ent_dispatch.c
+++ b/lib/entry/ent_dispatch.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Interval of ent_poll_model for each model. */
+/* Interval between calls of ent_poll_model() for a model. */
 #define POLL_INTERVAL_MS 250
 /* Maximum wait for a command, and so the interval of the dispatch loop. */
 #define TICK_MS 20
@@ -30,8 +30,9 @@
 	if (ring_push(en->commands, c))
 		return;
 	/*
-	 * A lost wake-up does no harm. A request whose route command is lost
-	 * is found by the sweep over open requests, at its deadline.
+	 * A lost wake-up does no harm: the thread checks the wait queues every
+	 * TICK_MS anyway. A request whose route command is lost is ended at its
+	 * deadline by the sweep over open requests.
 	 */
 	if (kind != ENT_CMD_WAKE)
 		ent_alarm(en, "dispatch-ring-full", rq ? rq->key : "rescue");
--- a/lib/entry/ent_feed.c
+++ b/lib/entry/ent_feed.c
@@ -14,9 +14,9 @@
 #define LOCAL_WAIT_MS 500
 
 /*
- * Time without an owner after which the copy in this entry is taken over: less
- * than the pause between two rounds over the owner and the judges, so that the
- * second failed round takes over.
+ * Time without an owner after which the copy in this entry is taken over. It is
+ * less than the pause between two searches for the owner (5 *
+ * FETCH_INTERVAL_MS), so that the second failed search leads to the takeover.
  */
 #define LOCAL_TAKEOVER_MS 50
 
@@ -89,9 +89,10 @@
 const struct ent_feed_vtable ent_local_feed_vtable = { local_next };
 
 /*
- * Fetches what follows (`gen`, `offset`) from the entry at `address`.
- * `owner_lost` makes the holder of the copy take over. Returns true if the
- * entry replied; `out` is then to be freed with xdr_free().
+ * Fetches the outcome and the tokens after the first `offset` ones of
+ * generation `gen` from the entry at `address`. `owner_lost` reports the owner
+ * as lost, so that the holder of the copy takes over. Returns true if the entry
+ * replied; `out` is then to be freed with xdr_free().
  */
 static bool fetch(struct ent_remote_feed *r, const char *address,
 		  bool owner_lost, uint32_t gen, uint32_t offset,
@@ -144,8 +145,8 @@
 }
 
 /*
- * Takes over the request if this entry holds its copy. Returns true if this
- * entry now owns it or it has ended.
+ * Takes over the request if this entry holds its copy. Sets r->local and
+ * returns true if this entry now owns the request or has its outcome.
  */
 static bool take_over_local_copy(struct ent_remote_feed *r)
 {
@@ -177,10 +178,10 @@
 };
 
 /*
- * Queries the entries in order until one owns the request or knows its outcome,
- * and fills `out` from its reply. `owner_lost` makes the holder of the copy
- * take over. It is not sent to the winner: a winner that replies without owning
- * the request has yet to begin it.
+ * Queries the entries in order until one owns the request or has its outcome,
+ * and fills `out` from its reply. False if none does. `owner_lost`: as for
+ * fetch(), but it is not sent to the winner, because a winner that replies
+ * without owning the request has yet to begin it.
  */
 static bool query_entries(struct ent_remote_feed *r, struct owner_search *s,
 			  bool owner_lost, uint32_t gen, uint32_t offset,
@@ -212,10 +213,11 @@
 
 /*
  * Searches for the owner of the request at the winner of the claim and at the
- * key's judges. The holder of the copy is asked to take over only if none of
- * them owns the request or knows its outcome: the winner may be dead and its
- * successor alive, which a holder that is queried first need not know. There is
- * no takeover while the winner is unknown or replies.
+ * key's judges, first without a takeover: the winner may have crashed and
+ * another entry may have taken over already, and the holder that is queried
+ * first may not have that information. Only if none of them owns the request or
+ * has its outcome does a second round request a takeover. There is none while
+ * the winner is unknown or replies.
  */
 static bool find_owner(struct ent_remote_feed *r, uint32_t gen, uint32_t offset,
 		       struct ent_batch *out)
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -1,8 +1,8 @@
 /*
  * The HTTP API for clients. A worker thread serves one connection from the
  * first byte of the request to the last byte of the response. The run does not
- * depend on it: a client that reconnects to this entry or another one receives
- * the rest of the response.
+ * depend on the connection: a client that reconnects to this entry or another
+ * one receives the rest of the response.
  */
 #include "entry/ent_answer.h"
 
@@ -14,7 +14,7 @@
 #include "base/jsn.h"
 #include "base/pub.h"
 
-/* Entries listed to a client: enough for it to survive the loss of two. */
+/* Entries listed to a client at most: enough to survive the loss of two. */
 #define MAX_LISTED_ENTRIES 4
 
 /* Characters per token assumed for the estimate of the prompt's tokens. */
@@ -96,8 +96,8 @@
 
 /*
  * Fills `best` with up to MAX_LISTED_ENTRIES alive entries and returns their
- * number: those in `zone` first, then by rendezvous weight for the account.
- * Takes one pass over the members.
+ * number. Entries in `zone` come first; within that, they are ordered by
+ * rendezvous weight for the account. Takes one pass over the members.
  */
 static size_t list_entries(struct entry *en, const char *account,
 			   const char *zone, struct listed_entry *best)
@@ -410,7 +410,8 @@
 
 /*
  * Looks the model and adapter up in the document and sets `*deadline_ms`, the
- * duration allowed for the request. Replies 404 and returns false if unknown.
+ * duration allowed for the request in ms. Replies 404 and returns false if
+ * either is unknown.
  */
 static bool find_model(struct client *c, const struct completion_params *p,
 		       int64_t *deadline_ms)
@@ -436,9 +437,10 @@
 	return false;
 }
 
-static void prepare_model(struct client *c, struct ent_req *rq,
-			  struct completion_params *p, bool chat,
-			  int64_t deadline_ms)
+/* Fills in a completion request. Takes the prompt out of `p`. */
+static void init_completion(struct client *c, struct ent_req *rq,
+			    struct completion_params *p, bool chat,
+			    int64_t deadline_ms)
 {
 	struct entry *en = c->en;
 	const size_t len = strlen(p->prompt);
@@ -491,7 +493,7 @@
 	met_inc(en->m.requests);
 	w.stream = p.stream;
 	ent_parse_last_event(hr, &w);
-	prepare_model(&c, rq, &p, chat, deadline_ms);
+	init_completion(&c, rq, &p, chat, deadline_ms);
 	if (find_or_claim(&c, rq, &w)) {
 		a = ent_admit(en, rq);
 		if (a.verdict == ADMIT_REFUSE)
@@ -504,7 +506,10 @@
 
 /* ---- /v1/services/NAME/... ---- */
 
-/* Looks a plain service up; replies 404 and returns false if unknown. */
+/*
+ * Copies the plain service into `out` and sets `*repeatable` for this method
+ * and path. Replies 404 and returns false if the service is unknown.
+ */
 static bool find_plain(struct client *c, const char *name, const char *path,
 		       struct doc_plain *out, bool *repeatable)
 {
@@ -538,7 +543,7 @@
 		.share_ok = true,
 		.has_endpoint = true,
 		.has_room = true,
-		.wait_limit_ms = 1000,
+		.wait_limit_ms = 1000, /* no effect: no wait is predicted */
 	};
 	const struct admit_result a = admit_decide(&f);
 
--- a/lib/entry/ent_member.c
+++ b/lib/entry/ent_member.c
@@ -1,6 +1,6 @@
 /*
- * The member thread: probes peers, gossips items and does periodic work. The
- * decisions are made by swim and spread.
+ * The member thread: probes peers, gossips items (see config/spread.h) and does
+ * periodic work. The decisions are made by member/swim and config/spread.
  */
 #include "entry/entry_internal.h"
 
@@ -14,7 +14,7 @@
 /* Maximum wait for a wake-up, and so the interval of the member loop. */
 #define TICK_MS 50
 #define PROBE_TIMEOUT_MS 1000
-/* Timeout of other calls to peers; some that transfer items get a multiple. */
+/* Timeout of other calls to peers; a multiple for some that transfer items. */
 #define PEER_TIMEOUT_MS 1000
 
 /*
@@ -43,8 +43,8 @@
 struct recent_item {
 	struct cds_list_head node;
 	char name[SPREAD_NAME_MAX];
-	unsigned rounds; /* offers left */
-	int64_t next_ms;
+	unsigned rounds;  /* offer rounds left */
+	int64_t next_ms;  /* not offered before */
 	int64_t since_ms; /* when it came into force */
 };
 
@@ -172,7 +172,7 @@
 		copy = mem_dup(name);
 		/*
 		 * A full ring means that the member thread is far behind. The
-		 * item is in the table, but is acted on only with its next
+		 * item is in the table, but takes effect only with its next
 		 * revision or at the next start, hence the alarm.
 		 */
 		if (!ring_push(en->changed_items, copy)) {
@@ -287,8 +287,9 @@
 }
 
 /*
- * Returns up to `max` names whose next round is due, and removes entries that
- * are past RECENT_MS. member_lock is held.
+ * Fills `names` with up to `max` items whose next offer round is due and
+ * returns their number. Also removes items without rounds left from the list of
+ * recent items after RECENT_MS. member_lock is held.
  */
 static size_t due_offers(struct entry *en, char names[][SPREAD_NAME_MAX],
 			 size_t max, int64_t now)
@@ -350,7 +351,10 @@
 	free(x);
 }
 
-/* Returns the names of the items that came into force recently. Lock held. */
+/*
+ * Returns the names of up to PEER_RECENT items that came into force recently.
+ * member_lock is held.
+ */
 void ent_list_recent(struct entry *en, peer_name **out, u_int *len)
 {
 	struct recent_item *f;
@@ -471,8 +475,9 @@
 };
 
 /*
- * Applies received deltas. Those of a first contact are `known_to_others`
- * already and not gossiped further. Returns true if a state changed.
+ * Applies received deltas. Returns true if a state changed. The deltas of a
+ * first contact (`known_to_others`) are the peer's whole member list, which the
+ * other members have already; they are not gossiped further.
  */
 static bool apply_deltas(struct entry *en, const peer_delta *rows, size_t n,
 			 bool known_to_others)
@@ -506,7 +511,11 @@
 	links_send(en->links, &c);
 }
 
-/* True if a lasting difference to the peer's digest is to be repaired now. */
+/*
+ * True if a lasting difference to the peer's digest is to be repaired by a sync
+ * now. Also moves last_put_ms, so that the next sync starts SYNC_INTERVAL_MS
+ * later at the earliest.
+ */
 static bool wants_sync(struct entry *en, uint64_t digest)
 {
 	const int64_t now = ent_now(en);
@@ -566,7 +575,10 @@
 	ent_fill_member(&en->self, &a->who);
 	pthread_mutex_lock(&en->member_lock);
 	a->digest = spread_digest(en->spread);
-	/* On first contact the peer replies with all members it knows. */
+	/*
+	 * A target without a name is a seed, the first contact. The peer then
+	 * replies with its whole member list.
+	 */
 	a->joining = !*target->name;
 	ent_list_recent(en, &a->recent.recent_val, &a->recent.recent_len);
 	n = swim_take_deltas(en->swim, d, MAX_DELTAS_PER_PROBE);
@@ -622,9 +634,10 @@
 /* ---- Start ---- */
 
 /*
- * Reads the documents in force from the key-value service. An entry that starts
- * must not serve an older document than its peers, so it also syncs with them;
- * the table keeps the higher revision.
+ * Reads the documents in force from the key-value service. False if it cannot
+ * be reached. An entry that starts must not serve an older document than its
+ * peers, so ent_bootstrap() also syncs with the seed peers; the table keeps the
+ * higher revision.
  */
 static bool load_from_kv(struct entry *en)
 {
--- a/lib/entry/ent_plain.c
+++ b/lib/entry/ent_plain.c
@@ -22,7 +22,10 @@
 	char address[64];
 };
 
-/* Prefers fewer open calls of this entry, then an endpoint in `zone`. */
+/*
+ * True if `a` is a better choice than `b`: it has fewer open calls of this
+ * entry or, with as many, is in `zone` and `b` is not.
+ */
 static bool is_better(const struct ent_pool_member *a,
 		      const struct ent_pool_member *b, const char *zone)
 {
@@ -97,7 +100,10 @@
 	end_request(rq, FLOW_COMPLETED, r->status);
 }
 
-/* Makes one attempt. Returns true if its outcome is final. */
+/*
+ * Makes one attempt. Returns true if its outcome is final. ERR_REFUSED means
+ * that there was no connection, so nothing was sent.
+ */
 static bool try_once(struct entry *en, struct ent_req *rq, struct ent_pool *p,
 		     const struct chosen_endpoint *c,
 		     const struct hcl_request *call, bool repeatable)
--- a/lib/entry/ent_poll.c
+++ b/lib/entry/ent_poll.c
@@ -43,8 +43,8 @@
 	ep->streams = s->streams;
 	/*
 	 * If cache events are missing from the report, or their sequence number
-	 * went back, evictions may have been missed. What the prefix index
-	 * learned before then no longer counts.
+	 * went back, evictions may have been missed. Routing then ignores what
+	 * the prefix index recorded for the endpoint up to now.
 	 */
 	if (s->cache_first > ep->cache_seq + 1 || s->cache_seq < ep->cache_seq)
 		ep->cache_gap_ms = now;
@@ -128,7 +128,7 @@
 	return best;
 }
 
-/* Polls the least recently polled endpoint; false if there is none. */
+/* Polls the result of least_recently_polled(); false if there is none. */
 static bool poll_next(struct entry *en, struct ent_model *m, bool ready,
 		      int64_t min_interval_ms)
 {
@@ -162,8 +162,9 @@
 }
 
 /*
- * Polls endpoints that are not ready until they are. Also polls an endpoint of
- * a model in use, because its requests may all be queued.
+ * Polls endpoints that are not ready, until they are. Also polls one ready
+ * endpoint of a model in use: while its requests only wait in the queue, no
+ * arriving request triggers a poll.
  */
 void ent_poll_model(struct entry *en, struct ent_model *m)
 {
--- a/lib/entry/ent_rpc.c
+++ b/lib/entry/ent_rpc.c
@@ -61,8 +61,9 @@
 }
 
 /*
- * Appends the sender's own delta to the `n` in `d` if it is considered suspect
- * or dead, so that it can refute. Returns the new number.
+ * Appends the sender's own delta to `d`, which has `n` deltas, if this entry
+ * considers the sender suspect or dead, so that the sender can refute. Returns
+ * the new number of deltas. member_lock is held.
  */
 static size_t add_sender_delta(const peer_head *h, struct swim_delta *d,
 			       size_t n)
@@ -265,8 +266,8 @@
 /* ---- Items ---- */
 
 /*
- * Sets `*out` to those names that have a higher revision than in this entry's
- * table, and returns their number. member_lock is held.
+ * Sets `*out` to a new array of the `names` whose revision is higher than in
+ * this entry's table, and returns their number. member_lock is held.
  */
 static u_int list_newer_names(const peer_name *names, u_int n, peer_name **out)
 {
@@ -350,7 +351,10 @@
 
 	if (theirs && theirs->rev >= it->rev)
 		return;
-	/* The message size is limited; the next sync sends the rest. */
+	/*
+	 * The message size is limited; the next sync sends the rest. 256 bytes
+	 * allow for the fields of an item other than the body.
+	 */
 	if (it->len + 256 > l->room)
 		return;
 	l->room -= it->len + 256;
@@ -379,7 +383,7 @@
 	return TRUE;
 }
 
-/* Returns the named items, as far as this entry has them in force. */
+/* Returns up to PEER_RECENT of the named items that this entry has. */
 bool_t peer_pull_1_svc(peer_offer_args a, peer_give_args *r, struct svc_req *q)
 {
 	u_int i;
--- a/lib/entry/ent_share.c
+++ b/lib/entry/ent_share.c
@@ -1,6 +1,7 @@
 /*
- * Rate limits of accounts: requests shares from the accounts' keepers, and
- * grants shares for the accounts whose keeper this entry is.
+ * Rate limits of accounts (see limit/share.h): requests shares from the
+ * accounts' keepers, and grants shares for the accounts whose keeper this entry
+ * is.
  */
 #include "entry/entry_internal.h"
 
@@ -13,7 +14,10 @@
 /* Timeout of a request for a share. */
 #define REQUEST_TIMEOUT_MS 800
 
-/* Returns an account's keeper in a view. O(members), about once a second. */
+/*
+ * Returns an account's keeper in a view; NULL if the view is empty. O(members);
+ * called about once a second for each account.
+ */
 static const struct view_member *keeper_of(const struct view *v,
 					   const char *account)
 {
@@ -78,7 +82,10 @@
 	pub_read_lock();
 	s = ent_snap(en);
 	v = ent_snap_current(s);
-	/* Both must use the same view, or two keepers could grant shares. */
+	/*
+	 * The requester and the keeper must use the same view, or two keepers
+	 * could grant shares of the same limit.
+	 */
 	if (v && v->number == view) {
 		const struct view_member *k = keeper_of(v, account);
 
@@ -193,7 +200,10 @@
 		return;
 	pthread_mutex_lock(&a->lock);
 	update_keeper(en, a, k.id == en->self.id, members);
-	/* A new keeper needs a report of every entry before it grants. */
+	/*
+	 * A new keeper grants nothing until every entry has reported its share
+	 * or SHARE_TTL_MS have passed, so every entry reports at once.
+	 */
 	due = urgent || share_is_due(&a->share, ent_now(en)) ||
 	      a->reported_keeper != k.id;
 	a->reported_keeper = k.id;
@@ -205,8 +215,9 @@
 }
 
 /*
- * Minimum interval between requests for a share when it is used up. A surge of
- * load at one entry need not wait for the next periodic request.
+ * Minimum interval between requests for a share when the share is used up.
+ * These are sent so that a surge of load at one entry need not wait for the
+ * next periodic request.
  */
 #define MIN_REQUEST_INTERVAL_MS 250
 
