--- a/lib/entry/ent_admit.c
+++ b/lib/entry/ent_admit.c
@@ -168,7 +168,7 @@
 	atomic_fetch_add(&rq->acct->in_flight, 1);
 	pthread_mutex_lock(&rq->lock);
 	rq->start_by_ms = now + MAX_WAIT_FACTOR_BATCH * f.wait_limit_ms;
-	/* Queued until a start would exceed the limit on the first token. */
+	/* The queue drops it when its first token could not be in time. */
 	if (r.verdict == ADMIT_GO) {
 		ent_route_and_call(rq);
 	} else if (!enqueue(rq,
--- a/lib/entry/ent_feed.c
+++ b/lib/entry/ent_feed.c
@@ -216,8 +216,8 @@
  * key's judges, first without a takeover: the winner may have crashed and
  * another entry may have taken over already, and the holder that is queried
  * first may not have that information. Only if none of them owns the request or
- * has its outcome does a second round request a takeover. There is none while
- * the winner is unknown or replies.
+ * has its outcome does a second round request a takeover. There is no takeover
+ * while the winner is unknown or replies.
  */
 static bool find_owner(struct ent_remote_feed *r, uint32_t gen, uint32_t offset,
 		       struct ent_batch *out)
--- a/lib/entry/ent_http.c
+++ b/lib/entry/ent_http.c
@@ -14,7 +14,7 @@
 #include "base/jsn.h"
 #include "base/pub.h"
 
-/* Entries listed to a client at most: enough to survive the loss of two. */
+/* Maximum number of entries listed to a client: enough if two crash. */
 #define MAX_LISTED_ENTRIES 4
 
 /* Characters per token assumed for the estimate of the prompt's tokens. */
--- a/lib/entry/ent_poll.c
+++ b/lib/entry/ent_poll.c
@@ -163,8 +163,8 @@
 
 /*
  * Polls endpoints that are not ready, until they are. Also polls one ready
- * endpoint of a model in use: while its requests only wait in the queue, no
- * arriving request triggers a poll.
+ * endpoint of a model in use: its requests may all be in the queue while no new
+ * one arrives and triggers a poll.
  */
 void ent_poll_model(struct entry *en, struct ent_model *m)
 {
