--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -185,9 +185,9 @@
 /* ---- Serving a feed ---- */
 
 /*
- * Tells the client that its tokens are void. The event id replaces that of the
- * last token: a client that disconnected now would otherwise request the rest
- * of tokens that it has dropped.
+ * Tells the client that its tokens are void. The event resets the client's last
+ * event id: if it disconnected now, it would otherwise reconnect with the id of
+ * a token that it has dropped, and receive only the tokens after that.
  */
 static bool write_restart(struct ent_writer *w)
 {
--- a/lib/entry/ent_answer.h
+++ b/lib/entry/ent_answer.h
@@ -9,7 +9,7 @@
 
 #include "entry/entry_internal.h"
 
-/* A batch of an answer. Free with ent_free_batch(). */
+/* A part of an answer. Free with ent_free_batch(). */
 struct ent_batch {
 	bool restart;  /* the tokens that the client has are void */
 	bool lost;     /* the source cannot be reached, or was handed over */
@@ -37,8 +37,8 @@
 struct ent_feed_vtable {
 	/*
 	 * Fills `out` with the tokens after the first `offset` ones of
-	 * generation `gen`. Waits for some a bounded time, and may then return
-	 * none.
+	 * generation `gen`. If there are none yet, waits for a bounded time and
+	 * may then return an empty batch. The caller frees the batch.
 	 */
 	void (*next)(struct ent_feed *f, uint32_t gen, uint32_t offset,
 		     struct ent_batch *out);
@@ -60,9 +60,9 @@
 	struct ent_feed feed;
 	char key[GRANT_KEY_MAX];
 	char account[DOC_NAME_MAX];
-	uint64_t view;		    /* of the key's slot */
-	unsigned slot;		    /* of its judges */
-	uint64_t winner;	    /* of the claim; 0: unknown */
+	uint64_t view;		    /* number of the view with its judges */
+	unsigned slot;		    /* slot of its judges in that view */
+	uint64_t winner;	    /* entry that won the claim; 0: unknown */
 	char address[SET_ADDR_MAX]; /* peer address of the owner; "": unknown */
 	int64_t lost_since;	    /* ms, monotonic; 0: reachable */
 	bool seen;		    /* the owner was found at least once */
@@ -80,10 +80,10 @@
 	bool stream;	  /* event stream, not a whole reply */
 	bool chat;	  /* chat completion, not text completion */
 	bool begun;	  /* the head of the event stream was sent */
-	bool restart_due; /* the client must be told that its tokens are void */
-	uint32_t gen;	  /* generation and number of its tokens */
-	uint32_t offset;
-	struct buf text; /* of a whole reply; freed by ent_serve() */
+	bool restart_due; /* the next event must be the restart event */
+	uint32_t gen;	  /* generation of the client's tokens */
+	uint32_t offset;  /* number of tokens that the client has */
+	struct buf text;  /* of a whole reply; freed by ent_serve() */
 };
 
 /*
@@ -106,19 +106,24 @@
 
 /*
  * Writes the feed's answer until it ends, the client disconnects, or the source
- * is lost, in which case the client is told to reconnect or to retry.
+ * is lost, in which case the client is told to reconnect or to retry. Frees
+ * w->text.
  */
 void ent_serve(struct ent_writer *w, struct ent_feed *f);
 
 /* ent_serve() for a request of this entry. */
 void ent_serve_local(struct ent_writer *w, struct ent_req *rq);
 
-/* True if one of the key's judges owns the request or knows its outcome. */
+/*
+ * True if a judge of the key or their reserve owns the request or has its
+ * outcome. Calls these peers and waits for the replies.
+ */
 bool ent_find_remote(struct entry *en, const struct ent_req *rq);
 
 /*
  * ent_serve() for a request of another entry: `winner` of the claim (0:
- * unknown), or the entry that took it over. May take it over itself.
+ * unknown), or the entry that took it over. If neither can be reached and this
+ * entry holds the copy, this entry takes the request over.
  */
 void ent_serve_remote(struct ent_writer *w, const struct ent_req *rq,
 		      uint64_t winner);
--- a/lib/entry/ent_claim.c
+++ b/lib/entry/ent_claim.c
@@ -13,12 +13,13 @@
 #include "base/hsh.h"
 
 /*
- * Time-out of calls to a judge. A judge answers within a round trip; waiting
- * for a second would already miss the target for the first token.
+ * Time-out of calls to a judge; a later reply counts as lost. A judge answers
+ * within a round trip, and waiting for a second would already miss the target
+ * time to the first token.
  */
 #define JUDGE_TIMEOUT_MS 300
 
-/* Random slots tried for one whose judges are all alive. */
+/* Random slots tried in the search for one whose judges are all alive. */
 #define MAX_GRANT_TRIES 64
 
 #define VOTE_TRANSFER_TIMEOUT_MS 1000
@@ -60,10 +61,10 @@
 	struct judge_target reserve;
 	bool has_reserve;
 	unsigned nr;
-	bool pending[VIEW_JUDGES]; /* a reply is outstanding */
-	bool held;		   /* a judge accepted the copy */
-	unsigned held_place;	   /* its index */
-	char held_by[SET_ADDR_MAX];
+	bool pending[VIEW_JUDGES];  /* a reply is outstanding */
+	bool held;		    /* a judge accepted the copy */
+	unsigned held_place;	    /* its index */
+	char held_by[SET_ADDR_MAX]; /* its peer address */
 };
 
 /* A call to a judge, or to the reserve in its place. */
@@ -166,9 +167,10 @@
 		}
 	}
 	/*
-	 * A judge that has left may have transferred its votes to the reserve.
-	 * If it merely did not reply, it may still vote; the reserve then has
-	 * not adopted its votes and refuses, so no vote is counted twice.
+	 * A judge that has left may have transferred its votes to the reserve,
+	 * so ask the reserve. A judge that merely did not reply may still vote;
+	 * the reserve has then not adopted its votes and refuses, so that no
+	 * vote is counted twice.
 	 */
 	if (!a->to_reserve && b->has_reserve &&
 	    (why != ERR_NONE ||
@@ -284,9 +286,9 @@
 }
 
 /*
- * Waits until the outcome is final and, if `need_held`, the copy of a won claim
- * is held; or until no reply is outstanding, or a time-out. Called with the
- * lock held.
+ * Waits until the outcome is final and, if the claim is won and `need_held` is
+ * set, until the copy is held. Returns earlier if no reply is outstanding or
+ * after a time-out. Called with the lock held.
  */
 static void wait_for_outcome(struct ballot *b, bool need_held)
 {
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -45,7 +45,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-/* A record that is received again from the same owner is not a conflict. */
+/* A record of a key in the table is accepted from the same owner only. */
 static bool is_owned_by(struct ent_req *rq, uint64_t owner)
 {
 	bool same;
@@ -259,9 +259,9 @@
 	return b;
 }
 
-#define MAX_BATCHES 64 /* per round */
+#define MAX_BATCHES 64 /* per call of send_copies() */
 
-/* True if the request has no holder; searches for one if it is due. */
+/* True if the request has no holder; starts a search that is due. */
 static bool lacks_holder(struct entry *en, struct ent_req *rq)
 {
 	const int64_t now = ent_now(en);
@@ -463,7 +463,7 @@
 		continue_run(rq);
 	}
 	pthread_mutex_unlock(&rq->lock);
-	/* This is the only copy now: have another one made. */
+	/* This is the only copy now: find another holder. */
 	ent_rehome(en, rq);
 }
 
@@ -481,12 +481,12 @@
 static void take_over_if_dead(struct ent_req *rq, void *arg)
 {
 	struct entry *en = arg;
-	bool dead;
+	bool held;
 
 	pthread_mutex_lock(&rq->lock);
-	dead = rq->role == ENT_HOLDER && rq->flow.phase != FLOW_DONE;
+	held = rq->role == ENT_HOLDER && rq->flow.phase != FLOW_DONE;
 	pthread_mutex_unlock(&rq->lock);
-	if (dead && owner_dead(en, rq))
+	if (held && owner_dead(en, rq))
 		ent_take_over(en, rq);
 }
 
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -10,7 +10,7 @@
 
 #include "base/hsh.h"
 
-/* Text of decisions kept per request for `explain`; the log has all. */
+/* Decisions kept per request for `explain`; the log has all of them. */
 #define MAX_LOG_BYTES 4096
 
 static struct cds_list_head *bucket_of(struct entry *en, const char *key)
@@ -221,7 +221,7 @@
 /*
  * Drops an answer replay_ms after its end, and removes a request at the end of
  * its key's life, since the judges then refuse the key. A request that this
- * entry still runs is kept for up to four lives.
+ * entry still runs is kept for up to four times the life of a key.
  */
 static void expire_request(struct ent_req *rq, void *arg)
 {
--- a/lib/entry/ent_rescue.c
+++ b/lib/entry/ent_rescue.c
@@ -1,7 +1,7 @@
 /*
- * Reclaim notices: finishes, moves or continues elsewhere the streams of the
- * endpoint that is reclaimed. place/rescue plans this for all of this entry's
- * streams there at once.
+ * Reclaim notices: each stream on a reclaimed endpoint finishes there, is moved
+ * with its KV cache, or is continued elsewhere from its prompt and tokens.
+ * place/rescue chooses, for all of this entry's streams there at once.
  */
 #include "entry/entry_internal.h"
 
@@ -21,7 +21,7 @@
 struct move {
 	struct entry *en;
 	struct ent_req *rq;
-	uint64_t from;	  /* endpoint */
+	uint64_t from;	  /* id of the endpoint */
 	int64_t start_ms; /* as planned */
 	int64_t end_ms;	  /* end of the instance */
 };
--- a/lib/entry/ent_run.c
+++ b/lib/entry/ent_run.c
@@ -1,6 +1,7 @@
 /*
- * Runs of requests: calls to engines, their streams, and retries. Decisions are
- * made by route and flow; rescue from reclaims is in ent_rescue.c.
+ * Runs of requests: calls to engines, their streams, and retries. The modules
+ * route (endpoints) and flow (retries, generations) decide; ent_rescue.c
+ * handles reclaims.
  */
 #include "entry/entry_internal.h"
 
@@ -427,9 +428,9 @@
 }
 
 /*
- * Starts the answer over, if no endpoint has run the model version of the
- * tokens so far for SAME_VERSION_WAIT_MS. The new run takes whatever version
- * the document names now. The client receives a restart event.
+ * Starts the answer over, after no endpoint has run the model version of the
+ * tokens so far for SAME_VERSION_WAIT_MS. The new run uses whatever version the
+ * document specifies then. The client receives a restart event.
  */
 static void restart_answer(struct ent_req *rq)
 {
@@ -447,9 +448,9 @@
 #define ROUTE_RETRY_MS 50 /* interval of attempts without an endpoint */
 
 /*
- * Wait for an endpoint that runs the version of the tokens so far, before the
- * answer is restarted; and for any endpoint, before a request that has not run
- * is given up.
+ * Time to wait for an endpoint that runs the version of the tokens so far
+ * before the answer is restarted. Also the time to wait for any endpoint before
+ * a request that has not run is given up, unless admission set another.
  */
 #define SAME_VERSION_WAIT_MS 1500
 
--- a/lib/entry/ent_state.c
+++ b/lib/entry/ent_state.c
@@ -19,7 +19,7 @@
 /* Queued requests per model; further ones could not start in time. */
 #define MAX_QUEUED 1024
 
-/* Endpoints per model; the target has 2,700 in total. */
+/* Endpoints per model; the target fleet has 2,700 in total. */
 #define MAX_ENDPOINTS 4096
 
 /* ---- Reading a snapshot ---- */
@@ -446,9 +446,9 @@
 }
 
 /*
- * Probability of a reclaim per second: usually one a day; one per 30 s in a
- * zone with a notice in the last ALERT_MS, since reclaims come in waves that
- * affect a whole zone.
+ * Expected reclaims of an instance per second: one a day in general; one per
+ * 30 s in a zone with a notice in the last ALERT_MS, since reclaims come in
+ * waves that affect a whole zone.
  */
 #define BASE_RECLAIM_RISK (1.0 / 86400.0)
 #define ALERT_RECLAIM_RISK (1.0 / 30.0)
@@ -570,10 +570,10 @@
 
 /*
  * Updates the endpoints of a service after a change of its document, which
- * specifies the performance of the machine classes. Instances may be known
- * before the document and then have defaults. When these were kept, at half the
- * real prefill rate, the few instances started later got a fifth of all
- * requests.
+ * specifies the performance of the machine classes. Endpoints of instances that
+ * arrive before the document have default values. Without this update they
+ * kept them, at half the real prefill rate, and the few instances that started
+ * later got a fifth of all requests.
  */
 static void update_service_instances(struct entry *en, const char *service)
 {
@@ -595,7 +595,7 @@
 
 	parsed = doc_parse(name, jsn_str(o, "text", ""), &e);
 	if (!parsed) {
-		/* Only valid documents are accepted; ignore this one. */
+		/* Unexpected: documents are validated when accepted. */
 		ent_alarm(en, "document-unreadable", e.text);
 		return;
 	}
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -13,10 +13,11 @@
 
 #define RING_CAP 8192 /* queued pointers */
 
-/* Votes kept as a judge: the target needs 54,000 (docs/CAPACITY.md). */
+/* Votes kept as a judge. The target load needs 54,000 (docs/CAPACITY.md). */
 #define MAX_VOTES 262144
 
-/* For its run and load reports, with a margin for overlaps of both. */
+/* Streams for the run and the load reports of a request, with a margin for
+ * their overlap. */
 #define MUX_STREAMS_PER_REQUEST 3
 
 /* ---- Metrics ---- */
@@ -241,6 +242,10 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
+/*
+ * Waits until the time `until`. Returns earlier when the entry stops or, with
+ * `for_idle`, when no request is open.
+ */
 static void wait_until(struct entry *en, int64_t until, bool for_idle)
 {
 	while (ent_now(en) < until && !atomic_load(&en->stopping)) {
--- a/lib/entry/entry.h
+++ b/lib/entry/entry.h
@@ -33,18 +33,19 @@
 struct entry *entry_start(const struct set *s, struct err *e);
 
 /*
- * The addresses, "host:port", on which it serves clients and peers. Owned by
- * the entry and valid until entry_stop().
+ * Return the addresses, "host:port", on which the entry serves clients and
+ * peers. Owned by the entry and valid until entry_stop().
  */
 const char *entry_http_address(const struct entry *en);
 const char *entry_peer_address(const struct entry *en);
 
 /*
  * Starts the drain and returns at once; later calls have no effect. The entry
- * announces at once that it leaves, but serves at least for `entry_list_ms`, as
- * long as clients may use a cached list that has it. It then waits until no
- * request is open, at most until `drain_ms` after the start. Model requests
- * that are still open then are handed over to their holders.
+ * tells its peers at once that it leaves, but accepts requests for at least
+ * `entry_list_ms` (a setting), since clients may use a cached list of entries
+ * that still has it. It then waits until no request is open, at most until
+ * `drain_ms` (a setting) after the start. Model requests that are still open
+ * then are handed over to their holders, the entries that have copies of them.
  */
 void entry_drain(struct entry *en);
 
--- a/lib/entry/entry_internal.h
+++ b/lib/entry/entry_internal.h
@@ -6,7 +6,15 @@
  * - holder: the entry that keeps a copy of the request's record and tokens, and
  *   takes the request over if the owner crashes or hands it over
  * - judge: a member that votes on claims (see claim/judge.h)
+ * - view: a numbered list of the members with a table of slots (see
+ *   member/view.h)
+ * - slot: the judges of a part of the keys, and their reserve
+ * - reserve: the member that adopts the votes of a judge that leaves
+ * - place: index of a judge in its slot
  * - run: the execution of a request by an engine
+ * - generation: a run that continues from a known prefix of the answer (see
+ *   request/flow.h)
+ * - plain service: a service without a model; its calls are not streamed
  *
  * Lock order, outermost first: ent_req.lock; then the lock of a model, an
  * account or a pool, or table_lock. member_lock and judge_lock are leaves. No
@@ -100,7 +108,7 @@
 struct ent_req {
 	struct cds_list_head node; /* in its bucket of entry.table */
 	struct cds_list_head open_node;
-	bool open; /* in entry.open; guarded by table_lock, as the nodes */
+	bool open; /* in entry.open; guarded by table_lock, like the nodes */
 	struct entry *en;
 	atomic_int refs;
 	pthread_mutex_t lock;
@@ -122,7 +130,7 @@
 	uint32_t prompt_tokens;
 	uint32_t max_tokens;
 	bool batch;    /* batch priority, not interactive */
-	double weight; /* of the account */
+	double weight; /* of the account, in the fair queue and rescue */
 
 	/* Guarded by the lock. */
 	enum ent_role role;
@@ -145,11 +153,11 @@
 	struct wfq_item item;
 	bool queued; /* item is in the model's wait queue */
 	bool kv_move_pending;
-	bool released;	 /* handed over to the holder by a drain */
+	bool released;	 /* handed over by a drain, or the claim failed */
 	size_t acct_max; /* the account's limit of requests in flight */
 	char kv_from[GRANT_KEY_MAX + 16]; /* run whose KV cache was moved */
 	double charged_tokens;		  /* taken from the account's share */
-	int64_t start_by_ms; /* limit on waiting for an endpoint; 0: unset */
+	int64_t start_by_ms; /* latest time to get an endpoint; 0: unset */
 	int64_t arrived_ms;
 	int64_t ended_ms; /* 0: open */
 	struct buf log;	  /* decisions, for `explain` */
@@ -158,8 +166,8 @@
 	char holder[SET_ADDR_MAX]; /* its peer address; "": no copy */
 	unsigned holder_place;	   /* its index among the slot's judges */
 	uint64_t previous_owner;   /* before a takeover by this entry; or 0 */
-	unsigned tried_places;	   /* bit mask of judges that refused it */
-	int64_t next_rehome_ms;	   /* no search for a holder before */
+	unsigned tried_places;	   /* bit mask of judges that did not accept */
+	int64_t next_rehome_ms;	   /* earliest time to search for a holder */
 	uint32_t copied_tokens;	   /* sent to the holder */
 	bool in_copy_queue;
 	bool end_copied; /* the holder has the outcome */
@@ -174,7 +182,7 @@
 	pthread_mutex_t lock;
 	struct share share;
 	struct retry_budget retries;
-	struct share_keeper *keeper; /* NULL if another entry is the keeper */
+	struct share_keeper *keeper; /* see limit/share.h; NULL: elsewhere */
 	uint64_t reported_keeper;    /* id of the last keeper called, or 0 */
 	double limit;		     /* tokens per second */
 	atomic_size_t in_flight;     /* requests */
@@ -192,7 +200,7 @@
 	struct prefix *prefix;
 	struct wfq *queue;
 	struct rnd rnd;
-	double recompute_weight;
+	double recompute_weight;   /* of the expected recomputation cost */
 	int64_t first_token_ms;	   /* target time to the first token */
 	int64_t between_tokens_ms; /* target time between tokens */
 	atomic_llong last_used_ms; /* time of the last request */
@@ -220,7 +228,7 @@
 	size_t nr;
 };
 
-/* A known instance. Used by the member thread only. */
+/* An instance of the gossiped items. Used by the member thread only. */
 struct ent_inst {
 	struct cds_list_head node;
 	uint64_t id;
@@ -288,9 +296,9 @@
 	struct swim *swim;
 	struct spread *spread;
 	struct cds_list_head recent_items; /* items to offer to peers */
-	int64_t last_put_ms;		   /* of a new item */
-	int64_t kv_contact_ms;	    /* from bootstrap or a "kv-up" call */
-	struct ring *wake;	    /* wakes the member thread */
+	int64_t last_put_ms;		   /* last time of a new item */
+	int64_t kv_contact_ms;		   /* last bootstrap or "kv-up" call */
+	struct ring *wake;		   /* wakes the member thread */
 	struct ring *changed_items; /* names for ent_apply_item(), owned */
 	struct ent_snap *snap;
 	struct cds_list_head docs;
@@ -356,7 +364,7 @@
 const struct ent_member *ent_snap_member(const struct ent_snap *s, uint64_t id);
 const struct ent_doc *ent_snap_doc(const struct ent_snap *s,
 				   const char *service);
-/* Authenticates a client: the account with the API key `bearer`, or NULL. */
+/* Returns the account with the API key `bearer`, or NULL. */
 const struct ent_account_ref *ent_snap_account(const struct ent_snap *s,
 					       const char *bearer);
 /*
@@ -374,8 +382,8 @@
  */
 void ent_apply_item(struct entry *en, const char *name);
 /*
- * Finds the account, or creates it with `limit` in tokens per second. Never
- * NULL; valid until ent_state_free().
+ * Finds the account, or creates it with `limit` in tokens per second (ignored
+ * if it exists). Never NULL; valid until ent_state_free().
  */
 struct ent_account *ent_account_get(struct entry *en, const char *service,
 				    const char *account, double limit);
@@ -396,7 +404,7 @@
 /* Frees the list of recent items. */
 void ent_member_free(struct entry *en);
 /*
- * Stores an item (see config/spread.h) if `rev` is higher than the known one,
+ * Stores an item (see config/spread.h) if `rev` is higher than the stored one,
  * and queues it for the member thread. `ttl_ms` 0: does not expire. `body` is
  * copied.
  */
@@ -413,8 +421,8 @@
 bool ent_read_member(const peer_member *p, struct view_member *m);
 /*
  * Builds a call for links_send() or links_call(), without a completion
- * callback. `address` must stay valid until then; `args` is owned by the link;
- * `size`: of the result in bytes.
+ * callback. `address` is borrowed until that function returns; `args` is owned
+ * by the link; `size`: of the result, in bytes.
  */
 struct link_call ent_prepare_call(const char *address, uint32_t proc,
 				  xdrproc_t xa, void *args, xdrproc_t xr,
@@ -428,13 +436,13 @@
  * True if neither the key-value service nor a peer was reached for cut_off_ms.
  */
 bool ent_is_cut_off(struct entry *en);
-/* `now`: monotonic, in ms. */
+/* Fills in an item and its time to live as of `now` (monotonic, in ms). */
 void ent_fill_item(const struct spread_item *it, peer_item *p, int64_t now);
 /* Lists recently changed items in a new array; member_lock held. */
 void ent_list_recent(struct entry *en, peer_name **out, u_int *len);
 /*
  * Requests from a peer the items among `names` whose revision is newer than the
- * one known here. Does not wait.
+ * one stored here. Does not wait.
  */
 void ent_pull_recent(struct entry *en, const char *address,
 		     const peer_name *names, size_t n);
@@ -472,8 +480,9 @@
 };
 /*
  * Claims `rq` for this entry by the votes of its judges, one of which also
- * receives the copy. Waits up to 2 * JUDGE_TIMEOUT_MS + 100 ms (700 ms), and as
- * long again if the copy was refused. Never CLAIM_PENDING.
+ * receives the copy. Waits up to 2 * JUDGE_TIMEOUT_MS + 100 ms (700 ms), and
+ * again up to this time if the copy was refused. The outcome is never
+ * CLAIM_PENDING.
  */
 struct ent_claim_result ent_claim(struct entry *en, struct ent_req *rq);
 /*
@@ -495,8 +504,8 @@
 			 uint64_t winner, char out[5][SET_ADDR_MAX],
 			 bool *winner_first);
 /*
- * Stops voting for good and transfers the votes to the reserves. Waits for
- * them; up to 3 tries each.
+ * Stops voting for good and transfers the votes to the reserves, one after the
+ * other. Waits for each reply; up to 3 tries of 1 s per reserve and view.
  */
 void ent_transfer_votes(struct entry *en);
 /*
@@ -593,14 +602,14 @@
  * Answers a peer that serves a client of a request: the tokens after (gen,
  * from) and the outcome. `r` must be zeroed, and stays so if the key is unknown
  * here or belongs to another account. Takes the request over if the peer
- * reports its owner as lost; a plain call only if the membership has the owner
- * dead.
+ * reports its owner as lost; a plain call only if the membership also has the
+ * owner as dead. The strings in `r` are to be freed by xdr_free().
  */
 void ent_serve_fetch(struct entry *en, const peer_fetch_args *a,
 		     peer_fetch_reply *r);
 
 /* -- ent_dispatch.c, ent_poll.c, ent_admit.c, ent_run.c -- */
-/* Requests load reports of two endpoints, for the next requests. */
+/* Requests load reports from two endpoints, for routing later requests. */
 void ent_poll_for_request(struct entry *en, struct ent_model *m);
 /* Requests load reports that are due. To be called periodically. */
 void ent_poll_model(struct entry *en, struct ent_model *m);
@@ -627,8 +636,8 @@
 void ent_give_up(struct ent_req *rq, const char *why);
 /*
  * Queues a command to the dispatch thread, with a reference to `rq`, which may
- * be NULL. If the queue is full, the command is dropped, with an alarm unless
- * it is ENT_CMD_WAKE.
+ * be NULL; see struct ent_command for the others. If the queue is full, the
+ * command is dropped, with an alarm unless it is ENT_CMD_WAKE.
  */
 void ent_send_command(struct entry *en, enum ent_command_kind kind,
 		      struct ent_req *rq, uint64_t instance, int64_t at_ms,
--- a/tests/test_answer.c
+++ b/tests/test_answer.c
@@ -1,4 +1,4 @@
-/* The event streams that clients receive over loopback, from scripted feeds. */
+/* Event streams that a client receives over loopback, from scripted feeds. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -67,8 +67,8 @@
 }
 
 /*
- * Requests the answer with the header `last_event`, while the server reads it
- * from `batches`. Appends the received body to `out`.
+ * Requests an answer with the header line `last_event` from a server whose feed
+ * returns `batches`. Appends the received body to `out`.
  */
 static void request_answer(const struct scripted_batch *batches, size_t nr,
 			   const char *last_event, struct buf *out)
