--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -249,8 +249,8 @@
 }
 
 /*
- * Ends the reply after the loss of its source: a client of a stream that has
- * begun is told to reconnect, others to retry.
+ * Ends the reply after the loss of its source: with a reconnect event if the
+ * stream has begun, otherwise with status 503 and Retry-After.
  */
 static void end_interrupted(struct ent_writer *w, bool handed_on)
 {
--- a/lib/entry/ent_answer.h
+++ b/lib/entry/ent_answer.h
@@ -106,8 +106,8 @@
 
 /*
  * Writes the feed's answer until it ends, the client disconnects, or the source
- * is lost, in which case the client is told to reconnect or to retry. Frees
- * w->text.
+ * is lost. In the last case the client receives a reconnect event or, if the
+ * stream has not begun, status 503 with Retry-After. Frees w->text.
  */
 void ent_serve(struct ent_writer *w, struct ent_feed *f);
 
--- a/lib/entry/ent_copy.c
+++ b/lib/entry/ent_copy.c
@@ -45,7 +45,7 @@
 	pthread_mutex_unlock(&rq->lock);
 }
 
-/* A record of a key in the table is accepted from the same owner only. */
+/* True if `owner` owns the request: its record was merely sent again. */
 static bool is_owned_by(struct ent_req *rq, uint64_t owner)
 {
 	bool same;
--- a/lib/entry/ent_req.c
+++ b/lib/entry/ent_req.c
@@ -1,5 +1,5 @@
 /*
- * The table of requests: those that this entry owns, and copies that it holds.
+ * The table of the requests that this entry owns, and of the copies it holds.
  */
 #include "entry/entry_internal.h"
 
--- a/lib/entry/entry.c
+++ b/lib/entry/entry.c
@@ -214,8 +214,8 @@
 
 /*
  * At the end of the drain: hands an open model request over to its holder, if
- * it has one, which takes it over. The client is told to reconnect, between two
- * events.
+ * it has one, which takes it over. The client receives a reconnect event after
+ * a whole event.
  */
 static void release_to_holder(struct ent_req *rq, void *arg)
 {
