--- a/lib/entry/ent_answer.c
+++ b/lib/entry/ent_answer.c
@@ -185,9 +185,9 @@
 /* ---- Serving a feed ---- */
 
 /*
- * Tells the client that its tokens are void. The event id replaces that of the
- * last token: a client that disconnected now would otherwise request the rest
- * of tokens that it has dropped.
+ * Tells the client that its tokens are void. The event resets the client's last
+ * event id: if it disconnected now, it would otherwise reconnect with the id of
+ * a token that it has dropped, and receive only the tokens after that.
  */
 static bool write_restart(struct ent_writer *w)
 {
@@ -249,8 +249,8 @@
 }
 
 /*
- * Ends the reply after the loss of its source: a client of a stream that has
- * begun is told to reconnect, others to retry.
+ * Ends the reply after the loss of its source: with a reconnect event if the
+ * stream has begun, otherwise with status 503 and Retry-After.
  */
 static void end_interrupted(struct ent_writer *w, bool handed_on)
 {
