--- a/lib/base/clk.h
+++ b/lib/base/clk.h
@@ -3,8 +3,8 @@
  *
  * Modules that make decisions do not read a clock; they take `int64_t now_ms`.
  * The code around them, which does I/O, reads it here. Monotonic time orders
- * events within a process; wall-clock time is only compared with the creation
- * times in grants.
+ * events within a process. Wall-clock time is only for times that machines
+ * exchange, such as the time of issue in a grant (see claim/grant.h).
  */
 #ifndef CLK_H
 #define CLK_H
@@ -34,16 +34,20 @@
 /* Microseconds of the monotonic clock. */
 int64_t clk_us(const struct clk *c);
 
-/* Milliseconds of the wall clock since the epoch. */
+/* Milliseconds of the wall clock since 1970-01-01 UTC. */
 int64_t clk_wall_ms(const struct clk *c);
 
 /*
  * Milliseconds of the boot clock, which includes the time while the machine is
- * suspended. For leases and ages: time passes for other machines meanwhile.
+ * suspended. Used for leases and ages, because time passes for other machines
+ * meanwhile.
  */
 int64_t clk_boot_ms(const struct clk *c);
 
-/* Blocks the thread. Not for modules that make decisions. */
+/*
+ * Blocks the thread for `ms` milliseconds, or until a signal. Not for modules
+ * that make decisions.
+ */
 void clk_sleep_ms(int64_t ms);
 
 /* Absolute CLOCK_MONOTONIC time `ms` milliseconds from now, for timed waits. */
--- a/lib/base/hsh.h
+++ b/lib/base/hsh.h
@@ -16,8 +16,8 @@
 uint64_t hsh_str(const char *s, uint64_t seed);
 
 /*
- * 128-bit hash (XXH3) that identifies a content without comparing the bytes;
- * not for secrets.
+ * 128-bit hash (XXH3): data with equal hashes is taken to be equal without
+ * comparing the bytes. Not for secrets.
  */
 struct hsh128 {
 	uint64_t hi, lo;
@@ -25,7 +25,7 @@
 
 struct hsh128 hsh128(const void *data, size_t len);
 
-/* Hash of the sequence of two hashes; depends on their order. */
+/* Hash of two hashes in sequence; depends on their order. */
 struct hsh128 hsh128_combine(struct hsh128 a, struct hsh128 b);
 
 static inline bool hsh128_equal(struct hsh128 a, struct hsh128 b)
@@ -40,17 +40,24 @@
 bool hsh128_parse(const char *text, struct hsh128 *out);
 
 /*
- * Rendezvous weight of a node for a key: the node with the highest is chosen.
+ * Rendezvous weight of a node for a key: the node with the highest weight is
+ * chosen.
  */
 uint64_t hsh_rendezvous(uint64_t key, uint64_t node);
 
 /* Writes the SHA-256 of a string as 64 lower-case hex digits and NUL. */
 void hsh_sha256_hex(const char *s, char out[65]);
 
-/* Writes the first 16 hex digits of the HMAC-SHA256 and NUL. */
+/*
+ * Writes the first 16 lower-case hex digits of the HMAC-SHA256 of `data` with
+ * the key `secret`, and NUL.
+ */
 void hsh_mac16(const char *secret, const char *data, char out[17]);
 
-/* Compares strings in time that does not depend on where they differ. */
+/*
+ * True if the strings are equal. The time does not depend on where they differ,
+ * only on their lengths.
+ */
 bool hsh_equal_secret(const char *a, const char *b);
 
 #endif
--- a/lib/base/jlog.c
+++ b/lib/base/jlog.c
@@ -27,13 +27,13 @@
 	int fd;
 	enum jlog_level level;
 	char instance[64];
-	struct buf pending;
-	struct buf line;
-	bool suppressed; /* the current line is more verbose than `level` */
+	struct buf pending; /* lines not written yet, <= MAX_PENDING_BYTES */
+	struct buf line;    /* the current line */
+	bool suppressed;    /* the current line is more verbose than `level` */
 	ev_timer flush;
-	uint64_t dropped, dropped_reported;
-	int64_t second;
-	unsigned lines_in_second;
+	uint64_t dropped, dropped_reported; /* lines: total, already logged */
+	int64_t second;			    /* boot clock, seconds */
+	unsigned lines_in_second;	    /* for the rate limit */
 };
 
 static void flush(struct jlog *l)
--- a/lib/base/jlog.h
+++ b/lib/base/jlog.h
@@ -26,7 +26,7 @@
 /*
  * Creates a log that writes to `fd`, which is made non-blocking and stays the
  * caller's. Lines more verbose than `level` are suppressed. `instance` is
- * copied into each line. Free with jlog_free.
+ * copied, at most 63 bytes, and written in each line. Free with jlog_free.
  */
 struct jlog *jlog_create(struct ev_loop *loop, const struct clk *clk, int fd,
 			 enum jlog_level level, const char *instance);
--- a/lib/base/jsn.c
+++ b/lib/base/jsn.c
@@ -392,9 +392,10 @@
 /* ---- Whole texts ---- */
 
 /*
- * Finds a duplicate name in an object and leaves `s` at it. json-c keeps the
- * last of such members without an error, so an operator's first value would be
- * ignored silently. Only the first 128 names of an object are compared.
+ * Finds a duplicate name in an object and leaves `s` at it. Searches the text,
+ * because json-c keeps only the last of such members and reports no error: the
+ * first value would be ignored silently. Only the first 128 names of an object
+ * are compared.
  */
 static bool has_duplicate(struct scan *s, int depth)
 {
--- a/lib/base/jsn.h
+++ b/lib/base/jsn.h
@@ -1,5 +1,6 @@
 /*
- * jsn: JSON, with comments, read into structs according to a table of fields.
+ * jsn: JSON. Reads JSON text, which may have comments, into structs according
+ * to a table of fields.
  *
  * The table lists every field that an object may have, with its type, range and
  * offset in the struct. Reading validates the whole text and reports the first
@@ -82,7 +83,8 @@
 
 /*
  * Parses a text of `len` bytes without reporting positions. Returns NULL if it
- * is not valid JSON. Free with jsn_put, json_object_put or JSN_AUTO.
+ * is not valid JSON or has 1 GiB or more. Text after the value is ignored. Free
+ * with jsn_put, json_object_put or JSN_AUTO.
  */
 struct json_object *jsn_parse(const char *text, size_t len);
 
--- a/lib/base/log.h
+++ b/lib/base/log.h
@@ -2,7 +2,8 @@
  * log: log lines through log4c, one per decision, to stderr.
  *
  * Callers write `key=value` pairs and quote values that have spaces. The log4c
- * category is marldock.AREA. The level is set once, from the settings.
+ * category is marldock.AREA. The level is set once, from the settings. Unlike
+ * jlog, a call can block while the reader of stderr is slow.
  */
 #ifndef LOG_H
 #define LOG_H
@@ -23,8 +24,9 @@
 void log_close(void);
 
 /*
- * Writes a line unless `level` is suppressed. `area` names the module or duty,
- * such as "route" or "member". Can be called by any thread.
+ * Writes a line, unless `level` is more verbose than that of log_open. `area`
+ * names the module or duty, such as "route" or "member". The text is truncated
+ * to 1,535 bytes. Can be called by any thread.
  */
 void log_line(enum log_level level, const char *area, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
--- a/lib/base/met.h
+++ b/lib/base/met.h
@@ -51,7 +51,7 @@
 /*
  * Register a counter or a gauge with value 0. `name`, without the prefix
  * marldock_, and `help` are not copied. The value is valid as long as the
- * registry. More than MET_MAX_METRICS fail an assert.
+ * registry. More than MET_MAX_METRICS metrics fail an assert.
  */
 met_value *met_counter(struct met *m, const char *name, const char *help);
 met_value *met_gauge(struct met *m, const char *name, const char *help);
--- a/lib/base/pub.h
+++ b/lib/base/pub.h
@@ -3,8 +3,7 @@
  *
  * Readers call pub_get between pub_read_lock and pub_read_unlock, and use the
  * object only until then. A writer publishes a new object with pub_set and
- * frees the old one after pub_wait. Several writers need a
- * lock of their own.
+ * frees the old one after pub_wait. Several writers need a lock of their own.
  *
  * ThreadSanitizer does not know the ordering that RCU guarantees, so its build
  * uses a read-write lock instead. It then detects reads outside a read section
@@ -29,7 +28,10 @@
 	pthread_rwlock_unlock(&pub_sanitizer_lock);
 }
 
-/* Waits until no reader that may have seen the old object is left. */
+/*
+ * Waits until no reader that may have seen the old object is left. Not to be
+ * called between pub_read_lock and pub_read_unlock: it would deadlock.
+ */
 static inline void pub_wait(void)
 {
 	pthread_rwlock_wrlock(&pub_sanitizer_lock);
@@ -53,7 +55,10 @@
 	rcu_read_unlock();
 }
 
-/* Waits until no reader that may have seen the old object is left. */
+/*
+ * Waits until no reader that may have seen the old object is left. Not to be
+ * called between pub_read_lock and pub_read_unlock: it would deadlock.
+ */
 static inline void pub_wait(void)
 {
 	synchronize_rcu();
--- a/lib/base/ring.h
+++ b/lib/base/ring.h
@@ -1,6 +1,6 @@
 /*
- * ring: ring buffer. A bounded FIFO queue of pointers between threads, one per
- * duty.
+ * ring: ring buffer. A bounded FIFO queue of pointers between threads, one
+ * queue per purpose.
  *
  * If the ring is full, ring_push returns false; it neither blocks nor drops an
  * element silently. All functions but ring_free can be called by any thread.
@@ -24,8 +24,9 @@
 bool ring_push(struct ring *r, void *item);
 
 /*
- * Removes the oldest element; ownership passes. Waits up to `wait_ms` for one.
- * NULL: time-out, or the ring is closed and empty.
+ * Removes the oldest element; ownership passes. Waits up to `wait_ms`
+ * milliseconds for one; 0: does not wait. NULL: time-out, or the ring is closed
+ * and empty.
  */
 void *ring_pop(struct ring *r, int64_t wait_ms);
 
