--- a/lib/io/hmsg.h
+++ b/lib/io/hmsg.h
@@ -17,7 +17,7 @@
 
 #include "base/buf.h"
 
-/* Headers of one message; clients send about ten. */
+/* Maximum number of headers of a message; clients send about ten. */
 #define HMSG_MAX_HEADERS 96
 
 struct hmsg_header {
@@ -104,7 +104,7 @@
 	HPARSE_MORE,	       /* all bytes consumed, more are needed */
 	HPARSE_STOPPED,	       /* `stop` was set; the rest is not consumed */
 	HPARSE_MALFORMED,      /* not HTTP, or rejected by `head` */
-	HPARSE_HEAD_TOO_LARGE, /* max_head_bytes or HMSG_MAX_HEADERS */
+	HPARSE_HEAD_TOO_LARGE, /* over a limit of bytes or headers */
 };
 
 /*
@@ -114,11 +114,14 @@
  */
 void hparse_init(struct hparse *p, bool requests, size_t max_head_bytes,
 		 const struct hparse_vtable *vt, void *owner);
+
+/* Frees the memory of the message, not the parser itself. */
 void hparse_free(struct hparse *p);
 
 /*
- * Parses `data` and calls back. *used: the bytes consumed. After HPARSE_STOPPED
- * the rest can be fed again; after an error the parser must not be used.
+ * Parses `data` and calls the callbacks. *used: the bytes consumed. After
+ * HPARSE_STOPPED the rest can be fed in a later call; after an error the parser
+ * must not be fed again.
  */
 enum hparse_result hparse_feed(struct hparse *p, const char *data, size_t len,
 			       size_t *used);
--- a/lib/io/hsc.c
+++ b/lib/io/hsc.c
@@ -76,11 +76,11 @@
 		shutdown(c->io->fd, SHUT_WR);
 }
 
-static void reject(struct hsc *c, enum hsc_read_error f)
+static void reject(struct hsc *c, enum hsc_read_error error)
 {
 	BUF_AUTO out = BUF_INIT;
 
-	c->server->vt->read_error(c, f, &out);
+	c->server->vt->read_error(c, error, &out);
 	ioc_write(c->io, out.data, out.len);
 	linger(c);
 }
--- a/lib/io/hsc.h
+++ b/lib/io/hsc.h
@@ -1,6 +1,6 @@
 /*
- * hsc: HTTP server connection. Reads one request at a time, whole, and then
- * leaves the response to the owner.
+ * hsc: HTTP server connection. Reads one complete request at a time, then calls
+ * its owner, which writes the response.
  *
  * Pipelined requests are buffered while a response is in progress. The end of
  * the connection is detected during a response too, so that work for a client
@@ -50,7 +50,7 @@
 	 * The request cannot be read. Appends the whole response to `out`; the
 	 * connection is closed after it.
 	 */
-	void (*read_error)(struct hsc *c, enum hsc_read_error f,
+	void (*read_error)(struct hsc *c, enum hsc_read_error error,
 			   struct buf *out);
 	/* Sets the limits of the next request. */
 	void (*limits)(struct hsc_server *s, struct hsc_limits *out);
@@ -115,7 +115,10 @@
  */
 void hsc_server_close_idle(struct hsc_server *s);
 
-/* Sends the next bytes of the response, from its status line on. */
+/*
+ * Sends or queues the next bytes of the response, the first of which is the
+ * status line. `data` is copied.
+ */
 void hsc_write(struct hsc *c, const void *data, size_t len);
 
 /*
--- a/lib/io/htc.c
+++ b/lib/io/htc.c
@@ -192,7 +192,8 @@
 }
 
 /*
- * Idle time for which the connection can be reused, by the Keep-Alive header.
+ * Idle time in milliseconds for which the connection can be reused: `dflt`, or
+ * less if the Keep-Alive header says so. Not positive: do not reuse it.
  */
 static int64_t keep_alive_time_ms(const struct hmsg *m, int64_t dflt)
 {
--- a/lib/io/htc.h
+++ b/lib/io/htc.h
@@ -52,9 +52,9 @@
 
 struct htc_limits {
 	int connect_ms;	     /* to establish a connection */
-	int user_timeout_ms; /* TCP_USER_TIMEOUT: unacknowledged bytes */
+	int user_timeout_ms; /* TCP_USER_TIMEOUT, for unacknowledged bytes */
 	int keepalive_s;     /* idle time before TCP keep-alive probes */
-	int idle_ms;	     /* idle time after which it is not reused */
+	int idle_ms;	     /* maximum idle time before reuse */
 };
 
 struct htc_peer {
@@ -65,9 +65,9 @@
 	struct cds_list_head idle; /* of htc_conn, most recently used first */
 	unsigned nr_idle;
 	unsigned nr_open;	   /* idle and in use */
-	unsigned long opened;	   /* connections opened in all */
+	unsigned long opened;	   /* connections since htc_peer_init */
 	unsigned long reused;	   /* calls on idle connections */
-	unsigned long idle_closed; /* idle connections that ended */
+	unsigned long idle_closed; /* by the peer, or for unexpected bytes */
 };
 
 /* `clk` and `loop` must outlive the peer; `addr` and `limits` are copied. */
--- a/lib/io/ioc.h
+++ b/lib/io/ioc.h
@@ -46,7 +46,7 @@
 	int fd;
 	bool connecting;
 	bool closed;	    /* by ioc_close */
-	bool in_callback;   /* ioc_close leaves the freeing to the caller */
+	bool in_callback;   /* ioc_close frees when the callback returns */
 	bool paused;	    /* not reading */
 	uint64_t sent;	    /* bytes that the kernel has accepted */
 	struct buf out;	    /* bytes to write */
@@ -80,7 +80,10 @@
 		      const struct ioc_timeouts *t, const struct ioc_vtable *vt,
 		      void *owner);
 
-/* Copies and sends or queues bytes. No effect on a closed connection. */
+/*
+ * Sends or queues bytes; `data` is copied. No effect on a closed connection. An
+ * error is reported later, by `ended`, when the connection is read.
+ */
 void ioc_write(struct ioc *c, const void *data, size_t len);
 
 /* Number of queued bytes. */
@@ -88,7 +91,7 @@
 
 /*
  * Stops or resumes reading. While paused, the receive window fills, which stops
- * the peer from sending.
+ * the peer from sending. No effect until the connection is established.
  */
 void ioc_pause(struct ioc *c, bool paused);
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -211,14 +211,14 @@
 	disconnects++;
 }
 
-static void peer_read_error(struct hsc *c, enum hsc_read_error f,
+static void peer_read_error(struct hsc *c, enum hsc_read_error error,
 			    struct buf *out)
 {
 	(void)c;
 	buf_fmt(out,
 		"HTTP/1.1 4%02d X\r\nContent-Length: 0\r\n"
 		"Connection: close\r\n\r\n",
-		f);
+		error);
 }
 
 static void peer_limits(struct hsc_server *s, struct hsc_limits *out)
