--- a/lib/base/jsn.c
+++ b/lib/base/jsn.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 /*
- * Limit of the nesting depth. The texts of this project nest 5 deep; many more
- * are a mistake or an attack.
+ * Limit of the nesting depth. The texts of this project nest 5 levels deep;
+ * much deeper ones are a mistake or an attack.
  */
 #define JSN_MAX_DEPTH 24
 
@@ -271,7 +271,7 @@
 static int read_enum(struct jsn_reader *r, const struct jsn_field *f,
 		     struct json_object *v, char *dst)
 {
-	char known[120] = "";
+	char allowed[120] = "";
 	const char *s;
 	int i;
 
@@ -279,16 +279,16 @@
 		return fail(r, "a string is expected");
 	s = json_object_get_string(v);
 	for (i = 0; f->names[i]; i++) {
-		const size_t n = strlen(known);
+		const size_t n = strlen(allowed);
 
 		if (!strcmp(s, f->names[i])) {
 			*(int *)(void *)dst = i;
 			return 0;
 		}
-		snprintf(known + n, sizeof(known) - n, "%s%s", i ? ", " : "",
-			 f->names[i]);
+		snprintf(allowed + n, sizeof(allowed) - n, "%s%s",
+			 i ? ", " : "", f->names[i]);
 	}
-	return fail(r, "\"%.40s\" is not one of: %s", s, known);
+	return fail(r, "\"%.40s\" is not one of: %s", s, allowed);
 }
 
 static int read_object(struct jsn_reader *r, const struct jsn_field *fields,
--- a/lib/base/jsn.h
+++ b/lib/base/jsn.h
@@ -25,8 +25,8 @@
 	JSN_BOOL,    /* bool */
 	JSN_ENUM,    /* int: index into `names` */
 	JSN_OBJ,     /* a nested struct read by `fields` */
-	JSN_LIST,    /* an array of structs: `stride`, `max`, `count_at` */
-	JSN_STRLIST, /* an array of char[size] */
+	JSN_LIST,    /* an array with room for `max` structs */
+	JSN_STRLIST, /* an array of char[size]; otherwise like JSN_LIST */
 };
 
 enum jsn_pattern {
--- a/lib/io/hsc.h
+++ b/lib/io/hsc.h
@@ -19,10 +19,10 @@
 
 struct hsc_limits {
 	size_t header_bytes; /* URL, header names and values together */
-	size_t body_bytes;
-	int header_ms; /* for a head to arrive, from its first byte */
-	int body_ms;   /* for a body to arrive, from the end of the head */
-	int idle_ms;   /* between requests, and before the first */
+	size_t body_bytes;   /* without chunk framing */
+	int header_ms;	     /* for a head to arrive, from its first byte */
+	int body_ms; /* for a body to arrive, from the end of the head */
+	int idle_ms; /* between requests, and before the first */
 };
 
 enum hsc_read_error {
--- a/lib/io/htc.h
+++ b/lib/io/htc.h
@@ -107,7 +107,8 @@
 
 /*
  * Replaces the time-out of the call: `ms` from now. For calls that should time
- * out when the peer is silent, not when a large response takes long.
+ * out when the peer is silent, not when a large response takes long. While the
+ * connection is being established, it replaces connect_ms too.
  */
 void htc_extend(struct htc_call *c, int ms);
 
