--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -354,7 +354,7 @@
 		const int64_t now = ctl_now(c);
 
 		if (strcmp(s[i].in.role, d->models[m].name) || !s[i].reported ||
-		    engine_obeys(&s[i].state, &o))
+		    engine_matches_order(&s[i].state, &o))
 			continue;
 		if (fenced ? !duty_may_act(&p->duty.duty, now)
 			   : !duty_may_act_unfenced(&p->duty.duty, now))
--- a/lib/platform/engine.c
+++ b/lib/platform/engine.c
@@ -144,7 +144,8 @@
 	return false;
 }
 
-bool engine_obeys(const struct engine_state *s, const struct engine_order *o)
+bool engine_matches_order(const struct engine_state *s,
+			  const struct engine_order *o)
 {
 	size_t i;
 
--- a/lib/platform/engine.h
+++ b/lib/platform/engine.h
@@ -81,6 +81,7 @@
 void engine_print_order(const struct engine_order *o, struct buf *out);
 
 /* True if the engine reports what the order asks for. */
-bool engine_obeys(const struct engine_state *s, const struct engine_order *o);
+bool engine_matches_order(const struct engine_state *s,
+			  const struct engine_order *o);
 
 #endif
--- a/tests/test_base.c
+++ b/tests/test_base.c
@@ -274,9 +274,9 @@
 			   "\"serve\",\"adapters\":[\"b\",\"a\"]}";
 
 	CU_ASSERT_EQUAL(engine_read_state(text, strlen(text), &s), 0);
-	CU_ASSERT(engine_obeys(&s, &o));
+	CU_ASSERT(engine_matches_order(&s, &o));
 	strcpy(o.version, "w");
-	CU_ASSERT(!engine_obeys(&s, &o));
+	CU_ASSERT(!engine_matches_order(&s, &o));
 	CU_ASSERT_EQUAL(engine_read_state("[1", 2, &s), -1);
 }
 
