--- a/lib/platform/cloud_http.c
+++ b/lib/platform/cloud_http.c
@@ -8,9 +8,10 @@
 #include "base/jsn.h"
 #include "net/hcl.h"
 
+/* Time limit of one call; must exceed NOTICE_WAIT_MS. */
 #define CALL_MS 3000
 
-/* How long the notice feed may hold a call open. */
+/* Longest time that the platform may hold a long poll for notices. */
 #define NOTICE_WAIT_MS 1000
 
 struct cloud_http {
@@ -66,6 +67,7 @@
 	buf_str(out, "}");
 }
 
+/* Sends one call and parses the reply; the caller releases `*out`. */
 static int call(struct cloud_http *c, const char *method, const char *path,
 		const char *body, struct json_object **out, struct err *e)
 {
--- a/lib/platform/engine.c
+++ b/lib/platform/engine.c
@@ -31,7 +31,7 @@
 	return 0;
 }
 
-/* Completions carry "text", chat completions a "delta". */
+/* Text is in "text" for completions, in "delta" for chat completions. */
 static const char *token_text(struct json_object *choice)
 {
 	const char *text = jsn_str(choice, "text", NULL);
--- a/lib/platform/kv.h
+++ b/lib/platform/kv.h
@@ -1,9 +1,10 @@
 /*
- * kv: the platform's key-value service, as an interface.
+ * kv: interface to the platform's key-value service.
  *
- * The shipped implementation speaks the JSON gateway of etcd v3 (kv_etcd.h);
- * tests pass fakes. Every call is bounded in time. A call that fails with
- * ERR_TIMEOUT or ERR_IO may have taken effect; ERR_REFUSED did not.
+ * The production implementation uses the JSON gateway of etcd v3 (kv_etcd.c);
+ * tests use fakes. Every call has a time limit. A call that fails with
+ * ERR_TIMEOUT or ERR_IO may have taken effect; one that fails with ERR_REFUSED
+ * has not.
  */
 #ifndef KV_H
 #define KV_H
@@ -14,78 +15,99 @@
 
 #include "base/err.h"
 
+/* Size of a key buffer in bytes, with the terminating NUL. */
 #define KV_KEY_MAX 160
 
 struct kv;
 
+/* A key, its value and its revisions. */
 struct kv_pair {
 	char key[KV_KEY_MAX];
-	char *value; /* owned; NUL-terminated */
-	size_t len;
-	int64_t mod_rev;
-	int64_t create_rev;
-	int64_t lease;
+	char *value;	    /* owned; NUL-terminated */
+	size_t len;	    /* of value, in bytes */
+	int64_t mod_rev;    /* revision of the last write */
+	int64_t create_rev; /* revision of the creation */
+	int64_t lease;	    /* attached lease; 0: none */
 };
 
+/* Result of a range read; release with kv_pairs_free(). */
 struct kv_pairs {
 	struct kv_pair *rows; /* owned */
 	size_t nr;
-	int64_t revision; /* of the whole store */
+	int64_t revision; /* of the store at the time of the read */
 };
 
+/* Declares a kv_pairs that is freed at the end of its scope. */
 #define KV_PAIRS_AUTO __attribute__((cleanup(kv_pairs_free))) struct kv_pairs
+/* Frees the rows and their values and resets `p` to empty. */
 void kv_pairs_free(struct kv_pairs *p);
 
-/* One write of a transaction; `value` NULL deletes the key. */
+/* One write of a transaction. A NULL `value` deletes the key. */
 struct kv_put {
 	const char *key;
 	const char *value;
-	int64_t lease; /* 0: none */
+	int64_t lease; /* lease to attach; 0: none */
 };
 
-/* The condition: the key's mod revision (0: it does not exist). */
+/* Condition: the key's mod revision is `mod_rev`; 0: the key doesn't exist. */
 struct kv_compare {
 	const char *key;
 	int64_t mod_rev;
 };
 
+/* A change seen by a watch. The pair is valid during the callback only. */
 struct kv_event {
 	bool deleted;
 	struct kv_pair pair;
 };
 
+/*
+ * Operations of a client. Those that return int return 0, or -1 with `e` set.
+ */
 struct kv_vtable {
-	/* All pairs with the prefix, or the one key. */
+	/*
+	 * Reads all pairs with the prefix `key`, or, if `prefix` is false, only
+	 * the pair of `key`.
+	 */
 	int (*range)(struct kv *kv, const char *key, bool prefix,
 		     struct kv_pairs *out, struct err *e);
 	/*
-	 * Writes all puts if all compares hold. `*done` tells which. 0 only
-	 * if the answer arrived.
+	 * Applies all puts atomically if all compares hold. `*succeeded` is
+	 * false if one didn't hold. Returns 0 only if the reply arrived.
 	 */
 	int (*txn)(struct kv *kv, const struct kv_compare *cmp, size_t nr_cmp,
-		   const struct kv_put *puts, size_t nr_puts, bool *done,
+		   const struct kv_put *puts, size_t nr_puts, bool *succeeded,
 		   int64_t *revision, struct err *e);
+	/* Grants a lease of `ttl_s` seconds and stores its id in `*id`. */
 	int (*lease_grant)(struct kv *kv, int64_t ttl_s, int64_t *id,
 			   struct err *e);
-	/* ERR_NOT_FOUND: the lease is gone. */
+	/* Renews a lease. ERR_NOT_FOUND: it has expired or was revoked. */
 	int (*lease_keep)(struct kv *kv, int64_t id, struct err *e);
+	/* Revokes a lease; the service deletes the keys attached to it. */
 	int (*lease_revoke)(struct kv *kv, int64_t id, struct err *e);
 	/*
-	 * Streams changes under a prefix from revision `from` on, until `fn`
-	 * returns false or the stream breaks. `fn` is called with NULL now
-	 * and then, so that it can stop a quiet watch.
+	 * Calls `fn` with each change under a prefix from revision `from` on,
+	 * until `fn` returns false or the stream ends. Also calls `fn` with
+	 * NULL from time to time, so that it can stop an idle watch. Returns 0
+	 * also when the time limit ends the stream; the caller then starts
+	 * the watch again.
 	 */
 	int (*watch)(struct kv *kv, const char *prefix, int64_t from,
 		     bool (*fn)(const struct kv_event *ev, void *arg),
 		     void *arg, struct err *e);
+	/* Releases the client. */
 	void (*free)(struct kv *kv);
 };
 
+/* Base of every client; its first member. */
 struct kv {
 	const struct kv_vtable *vt;
 };
 
-/* The etcd v3 JSON gateway at `address`; uses `h`, which must outlive it. */
+/*
+ * Creates a client of the etcd v3 JSON gateway at `address` (copied). Uses `h`,
+ * which must outlive it. Release with vt->free().
+ */
 struct hcl;
 struct kv *kv_etcd_create(struct hcl *h, const char *address);
 
--- a/lib/platform/kv_etcd.c
+++ b/lib/platform/kv_etcd.c
@@ -9,10 +9,10 @@
 #include "base/jsn.h"
 #include "net/hcl.h"
 
-/* The service answers in milliseconds; longer is an outage. */
+/* Time limit of one call. Replies take milliseconds; longer is an outage. */
 #define CALL_MS 2000
 
-/* A quiet watch is looked after this often. */
+/* Interval for checks of an idle watch; 8 of them limit one watch call. */
 #define WATCH_SLICE_MS 1000
 
 struct kv_etcd {
@@ -52,7 +52,7 @@
 	const int got = EVP_DecodeBlock(out, (const unsigned char *)s, (int)n);
 
 	*len = got < 0 ? 0 : (size_t)got;
-	/* The decoder counts padding as zero bytes. */
+	/* EVP_DecodeBlock() counts each padding character as a zero byte. */
 	if (got > 0 && n && s[n - 1] == '=')
 		(*len)--;
 	if (got > 0 && n > 1 && s[n - 2] == '=')
@@ -69,7 +69,7 @@
 	add_base64(b, key, strlen(key));
 }
 
-/* The end of a prefix's range: its last byte raised by one. */
+/* The range of a prefix ends at the prefix with its last byte incremented. */
 static void add_range(struct buf *b, const char *key, bool prefix)
 {
 	char end[KV_KEY_MAX];
@@ -83,6 +83,7 @@
 	add_key(b, "range_end", end);
 }
 
+/* Sends one call and parses the reply; the caller releases `*out`. */
 static int call(struct kv_etcd *k, const char *path, const char *body,
 		struct json_object **out, struct err *e)
 {
@@ -158,7 +159,7 @@
 }
 
 static int etcd_txn(struct kv *kv, const struct kv_compare *cmp, size_t nr_cmp,
-		    const struct kv_put *puts, size_t nr_puts, bool *done,
+		    const struct kv_put *puts, size_t nr_puts, bool *succeeded,
 		    int64_t *revision, struct err *e)
 {
 	struct kv_etcd *k = (struct kv_etcd *)kv;
@@ -184,7 +185,7 @@
 	buf_str(&b, "]}");
 	if (call(k, "/v3/kv/txn", b.data, &o, e))
 		return -1;
-	*done = jsn_bool(o, "succeeded", false);
+	*succeeded = jsn_bool(o, "succeeded", false);
 	if (revision)
 		*revision = jsn_int(jsn_get(o, "header"), "revision", 0);
 	return 0;
@@ -215,7 +216,7 @@
 	if (call(k, "/v3/lease/keepalive", body, &o, e))
 		return -1;
 	r = jsn_get(o, "result");
-	/* A lease that is gone is answered with a time of 0 or none. */
+	/* For an expired or revoked lease, TTL is 0 or missing. */
 	if (jsn_int(r ? r : o, "TTL", 0) <= 0)
 		return err_set(e, ERR_NOT_FOUND, "lease %lld is gone",
 			       (long long)id);
@@ -232,29 +233,29 @@
 	return call(k, "/v3/lease/revoke", body, &o, e);
 }
 
-/* ---- Watching ---- */
+/* ---- Watch ---- */
 
-struct watching {
+struct watch_ctx {
 	bool (*fn)(const struct kv_event *ev, void *arg);
 	void *arg;
 	struct buf line;
 	bool stopped;
 };
 
-static bool give_event(struct watching *w, struct json_object *o)
+static bool deliver_event(struct watch_ctx *w, struct json_object *o)
 {
 	struct kv_event ev;
-	bool go;
+	bool keep_watching;
 
 	ev.deleted = !strcmp(jsn_str(o, "type", "PUT"), "DELETE");
 	read_pair(jsn_get(o, "kv"), &ev.pair);
-	go = w->fn(&ev, w->arg);
+	keep_watching = w->fn(&ev, w->arg);
 	free(ev.pair.value);
-	return go;
+	return keep_watching;
 }
 
 /* The gateway sends one JSON object per line. */
-static bool give_line(struct watching *w)
+static bool deliver_line(struct watch_ctx *w)
 {
 	JSN_AUTO *o = jsn_parse(buf_cstr(&w->line), w->line.len);
 	struct json_object *events = jsn_get(jsn_get(o, "result"), "events");
@@ -262,7 +263,7 @@
 
 	buf_reset(&w->line);
 	for (i = 0; i < jsn_len(events); i++) {
-		if (!give_event(w, json_object_array_get_idx(events, i)))
+		if (!deliver_event(w, json_object_array_get_idx(events, i)))
 			return false;
 	}
 	return w->fn(NULL, w->arg);
@@ -270,7 +271,7 @@
 
 static bool on_watch_data(const char *data, size_t len, void *arg)
 {
-	struct watching *w = arg;
+	struct watch_ctx *w = arg;
 	size_t i;
 
 	for (i = 0; i < len; i++) {
@@ -278,7 +279,7 @@
 			buf_add(&w->line, data + i, 1);
 			continue;
 		}
-		if (w->line.len && !give_line(w)) {
+		if (w->line.len && !deliver_line(w)) {
 			w->stopped = true;
 			return false;
 		}
@@ -291,7 +292,7 @@
 		      void *arg, struct err *e)
 {
 	struct kv_etcd *k = (struct kv_etcd *)kv;
-	struct watching w = { .fn = fn, .arg = arg };
+	struct watch_ctx w = { .fn = fn, .arg = arg };
 	HCL_REPLY_AUTO r = HCL_REPLY_INIT;
 	BUF_AUTO b = BUF_INIT;
 	struct hcl_request rq = {
@@ -311,8 +312,9 @@
 	rq.body = b.data;
 	rq.body_len = b.len;
 	/*
-	 * A watch whose service froze looks like a quiet one, so it is cut
-	 * and begun again from the last revision seen now and then.
+	 * If the service hangs, its watch looks like an idle one. The call
+	 * therefore ends after this time, with success, and the caller starts
+	 * it again from the last revision seen.
 	 */
 	rq.total_ms = 8 * WATCH_SLICE_MS;
 	ret = hcl_call(k->h, &rq, &r, e);
