--- a/lib/platform/engine.h
+++ b/lib/platform/engine.h
@@ -64,7 +64,7 @@
 	char role[16];
 	int64_t fence;	     /* fencing token of its last order */
 	bool ready;	     /* weights are loaded, accepts requests */
-	bool leaving;	     /* its instance is about to end */
+	bool leaving;	     /* gets no new requests */
 	int64_t running;     /* runs in the batch */
 	int64_t waiting;     /* runs queued */
 	int64_t slots;	     /* most runs at once */
@@ -79,7 +79,7 @@
 int engine_read_state(const char *text, size_t len, struct engine_state *out);
 
 /*
- * What an engine shall serve. An order states the whole desired state, not a
+ * What an engine should serve. An order states the whole desired state, not a
  * change to it, so sending it again is idempotent.
  */
 struct engine_order {
--- a/lib/platform/kv.h
+++ b/lib/platform/kv.h
@@ -74,6 +74,7 @@
 	/*
 	 * Applies all puts atomically if all compares hold. `*succeeded` is
 	 * false if one didn't hold. Returns 0 only if the reply arrived.
+	 * The store's revision goes into `*revision`, unless it is NULL.
 	 */
 	int (*txn)(struct kv *kv, const struct kv_compare *cmp, size_t nr_cmp,
 		   const struct kv_put *puts, size_t nr_puts, bool *succeeded,
@@ -104,11 +105,11 @@
 	const struct kv_vtable *vt;
 };
 
+struct hcl;
 /*
  * Creates a client of the etcd v3 JSON gateway at `address` (copied). Uses `h`,
  * which must outlive it. Release with vt->free().
  */
-struct hcl;
 struct kv *kv_etcd_create(struct hcl *h, const char *address);
 
 #endif
