--- a/lib/platform/engine.c
+++ b/lib/platform/engine.c
@@ -31,7 +31,7 @@
 	return 0;
 }
 
-/* Completions carry "text", chat completions a "delta". */
+/* Text is in "text" for completions, in "delta" for chat completions. */
 static const char *token_text(struct json_object *choice)
 {
 	const char *text = jsn_str(choice, "text", NULL);
@@ -144,7 +144,8 @@
 	return false;
 }
 
-bool engine_obeys(const struct engine_state *s, const struct engine_order *o)
+bool engine_matches_order(const struct engine_state *s,
+			  const struct engine_order *o)
 {
 	size_t i;
 
