--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -8,7 +8,7 @@
 #include "base/rnd.h"
 #include "control/control_internal.h"
 
-#define ENTRY_MS 2000
+#define ENTRY_TIMEOUT_MS 2000
 #define LINK_THREADS 4
 
 /* ---- The entry beside us ---- */
@@ -20,8 +20,8 @@
 	h->boot = c->boot;
 }
 
-bool ctl_give(struct control *c, const char *name, uint64_t rev,
-	      const char *body, int64_t ttl_ms)
+bool ctl_publish_item(struct control *c, const char *name, uint64_t rev,
+		      const char *body, int64_t ttl_ms)
 {
 	peer_give_args *a = mem_new(sizeof(*a));
 	struct err e = ERR_INIT;
@@ -33,7 +33,7 @@
 		.args = a,
 		.xdr_result = (xdrproc_t)xdr_peer_give_reply,
 		.result_size = sizeof(r),
-		.timeout_ms = ENTRY_MS,
+		.timeout_ms = ENTRY_TIMEOUT_MS,
 	};
 
 	fill_head(c, &a->head);
@@ -50,7 +50,7 @@
 	return true;
 }
 
-struct json_object *ctl_ask(struct control *c, const char *what)
+struct json_object *ctl_query_entry(struct control *c, const char *what)
 {
 	peer_status_args *a = mem_new(sizeof(*a));
 	struct json_object *o;
@@ -63,7 +63,7 @@
 		.args = a,
 		.xdr_result = (xdrproc_t)xdr_peer_text,
 		.result_size = sizeof(r),
-		.timeout_ms = ENTRY_MS,
+		.timeout_ms = ENTRY_TIMEOUT_MS,
 	};
 
 	fill_head(c, &a->head);
@@ -108,9 +108,9 @@
 	snprintf(d->key, sizeof(d->key), "/marldock/duty/%s", name);
 }
 
-static void kv_answered(struct control *c)
+static void record_kv_reply(struct control *c)
 {
-	atomic_store(&c->kv_seen_ms, ctl_now(c));
+	atomic_store(&c->kv_last_reply_ms, ctl_now(c));
 }
 
 /*
@@ -118,64 +118,66 @@
  * with our name in it, so reading tells whose it is; the fence is the
  * revision at which the key was created.
  */
-static void take(struct control *c, struct ctl_duty *d)
+static void acquire_lease(struct control *c, struct ctl_duty *d)
 {
-	char ever[KV_KEY_MAX + 8];
-	const struct kv_compare absent[] = { { d->key, 0 }, { ever, 0 } };
+	char ever_held_key[KV_KEY_MAX + 8];
+	const struct kv_compare absent[] = { { d->key, 0 },
+					     { ever_held_key, 0 } };
 	struct kv_put puts[] = { { d->key, c->holder, 0 },
-				 { ever, c->holder, 0 } };
-	KV_PAIRS_AUTO now = { 0 };
+				 { ever_held_key, c->holder, 0 } };
+	KV_PAIRS_AUTO current = { 0 };
 	struct err e = ERR_INIT;
-	bool done = false, fresh = false;
+	bool done = false, never_held = false;
 
 	/* A key without a lease tells whether the duty was ever held: only
 	 * the very first holder need not wait out a former one. */
-	snprintf(ever, sizeof(ever), "%s.ever", d->key);
+	snprintf(ever_held_key, sizeof(ever_held_key), "%s.ever", d->key);
 
-	if (c->kv->vt->range(c->kv, d->key, false, &now, &e)) {
+	if (c->kv->vt->range(c->kv, d->key, false, &current, &e)) {
 		duty_failed(&d->duty, ctl_now(c));
 		return;
 	}
-	kv_answered(c);
-	if (now.nr && (strcmp(now.rows[0].value, c->holder) ||
-		       now.rows[0].lease != d->lease || !d->lease)) {
+	record_kv_reply(c);
+	if (current.nr && (strcmp(current.rows[0].value, c->holder) ||
+			   current.rows[0].lease != d->lease || !d->lease)) {
 		duty_refused(&d->duty, ctl_now(c));
 		return;
 	}
-	if (!now.nr) {
+	if (!current.nr) {
 		if (c->kv->vt->lease_grant(c->kv, c->set.lease_s, &d->lease,
 					   &e)) {
 			duty_failed(&d->duty, ctl_now(c));
 			return;
 		}
 		puts[0].lease = d->lease;
-		if (c->kv->vt->txn(c->kv, absent, 2, puts, 2, &fresh, NULL,
+		if (c->kv->vt->txn(c->kv, absent, 2, puts, 2, &never_held, NULL,
 				   &e) ||
-		    (!fresh && c->kv->vt->txn(c->kv, absent, 1, puts, 1, &done,
-					      NULL, &e))) {
+		    (!never_held && c->kv->vt->txn(c->kv, absent, 1, puts, 1,
+						   &done, NULL, &e))) {
 			duty_failed(&d->duty, ctl_now(c));
 			return;
 		}
-		done = done || fresh;
-		kv_pairs_free(&now);
-		if (!done || c->kv->vt->range(c->kv, d->key, false, &now, &e) ||
-		    !now.nr || strcmp(now.rows[0].value, c->holder)) {
+		done = done || never_held;
+		kv_pairs_free(&current);
+		if (!done ||
+		    c->kv->vt->range(c->kv, d->key, false, &current, &e) ||
+		    !current.nr || strcmp(current.rows[0].value, c->holder)) {
 			duty_refused(&d->duty, ctl_now(c));
 			return;
 		}
 	}
-	duty_taken(&d->duty, (uint64_t)now.rows[0].create_rev, fresh,
+	duty_taken(&d->duty, (uint64_t)current.rows[0].create_rev, never_held,
 		   ctl_now(c));
 	log_line(LOG_LEVEL_INFO, "duty", "duty=%s taken fence=%lld", d->key,
-		 (long long)now.rows[0].create_rev);
+		 (long long)current.rows[0].create_rev);
 }
 
-static void renew(struct control *c, struct ctl_duty *d)
+static void renew_lease(struct control *c, struct ctl_duty *d)
 {
 	struct err e = ERR_INIT;
 
 	if (!c->kv->vt->lease_keep(c->kv, d->lease, &e)) {
-		kv_answered(c);
+		record_kv_reply(c);
 		duty_renewed(&d->duty, ctl_now(c));
 	} else if (e.code == ERR_NOT_FOUND) {
 		log_line(LOG_LEVEL_WARN, "duty", "duty=%s lost", d->key);
@@ -186,14 +188,14 @@
 	}
 }
 
-void ctl_duty_run(struct control *c, struct ctl_duty *d)
+void ctl_duty_step(struct control *c, struct ctl_duty *d)
 {
 	switch (duty_tick(&d->duty, ctl_now(c))) {
 	case DUTY_TAKE:
-		take(c, d);
+		acquire_lease(c, d);
 		break;
 	case DUTY_RENEW:
-		renew(c, d);
+		renew_lease(c, d);
 		break;
 	case DUTY_NOTHING:
 		break;
@@ -222,7 +224,7 @@
 		{ &c->list_thread, ctl_list_run },
 		{ &c->notice_thread, ctl_notice_run },
 		{ &c->member_thread, ctl_members_run },
-		{ &c->place_thread, ctl_place_run },
+		{ &c->place_thread, ctl_placement_run },
 	};
 	char text[128];
 	size_t i;
@@ -258,7 +260,7 @@
 	pthread_join(c->member_thread, NULL);
 	pthread_join(c->place_thread, NULL);
 	ctl_duty_release(c, &c->members);
-	ctl_place_free(c);
+	ctl_placement_free(c);
 	links_free(c->links);
 	c->kv->vt->free(c->kv);
 	c->cloud->vt->free(c->cloud);
--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -28,7 +28,7 @@
 	int64_t lease;
 };
 
-struct ctl_place;
+struct ctl_placement;
 
 struct control {
 	struct set set;
@@ -42,11 +42,12 @@
 	struct kv *kv;
 	struct cloud *cloud;
 	atomic_bool stopping;
-	atomic_llong kv_seen_ms; /* last answer of the key-value service */
+	atomic_llong
+		kv_last_reply_ms; /* last answer of the key-value service */
 
 	struct ctl_duty members;
-	struct ctl_place *places[CTL_MAX_SERVICES];
-	size_t nr_places;
+	struct ctl_placement *placements[CTL_MAX_SERVICES];
+	size_t nr_placements;
 
 	pthread_t watch_thread, list_thread, notice_thread;
 	pthread_t member_thread, place_thread;
@@ -58,15 +59,15 @@
 }
 
 /* Gives one item to the entry beside us. True if it answered. */
-bool ctl_give(struct control *c, const char *name, uint64_t rev,
-	      const char *body, int64_t ttl_ms);
+bool ctl_publish_item(struct control *c, const char *name, uint64_t rev,
+		      const char *body, int64_t ttl_ms);
 
 /* Asks the entry for a status; a new JSON object or NULL. */
-struct json_object *ctl_ask(struct control *c, const char *what);
+struct json_object *ctl_query_entry(struct control *c, const char *what);
 
 /* Takes, renews or drops a duty's lease as its state says. */
 void ctl_duty_init(struct control *c, struct ctl_duty *d, const char *name);
-void ctl_duty_run(struct control *c, struct ctl_duty *d);
+void ctl_duty_step(struct control *c, struct ctl_duty *d);
 void ctl_duty_release(struct control *c, struct ctl_duty *d);
 
 /* Whether this control is one of the few that try for a duty, by rendezvous
@@ -79,8 +80,8 @@
 void *ctl_list_run(void *arg);
 void *ctl_notice_run(void *arg);
 void *ctl_members_run(void *arg);
-void *ctl_place_run(void *arg);
-void ctl_place_free(struct control *c);
+void *ctl_placement_run(void *arg);
+void ctl_placement_free(struct control *c);
 
 /* The members of a status reply, as view members with states. */
 size_t ctl_read_members(struct json_object *o, struct view_member *out,
--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -12,7 +12,7 @@
 /* A change must stand so long, so that joins and deaths come in batches. */
 #define SETTLE_MS 800
 
-struct proposing {
+struct view_proposal {
 	struct view *want;
 	int64_t since_ms;
 };
@@ -21,11 +21,11 @@
  * Alive entries, and those only suspected that the last view has: a suspicion
  * may be refuted, and each view costs every entry its transfer.
  */
-static struct view *wanted_view(struct control *c, const struct view *last)
+static struct view *build_view(struct control *c, const struct view *last)
 {
 	MEM_AUTO struct view_member *m = mem_new(VIEW_MAX_MEMBERS * sizeof(*m));
 	MEM_AUTO int *states = mem_new(VIEW_MAX_MEMBERS * sizeof(*states));
-	JSN_AUTO *o = ctl_ask(c, "members");
+	JSN_AUTO *o = ctl_query_entry(c, "members");
 	const size_t n = ctl_read_members(o, m, states, VIEW_MAX_MEMBERS);
 	size_t kept = 0, i;
 
@@ -43,7 +43,7 @@
 }
 
 /* The newest view: the service's, or a newer one that the entries know. */
-static struct view *last_view(struct control *c, int64_t *mod_rev, bool *ok)
+static struct view *newest_view(struct control *c, int64_t *mod_rev, bool *ok)
 {
 	KV_PAIRS_AUTO p = { 0 };
 	JSN_AUTO *items = NULL;
@@ -55,11 +55,11 @@
 	*ok = !c->kv->vt->range(c->kv, "/marldock/view", false, &p, &e);
 	if (!*ok)
 		return NULL;
-	atomic_store(&c->kv_seen_ms, ctl_now(c));
+	atomic_store(&c->kv_last_reply_ms, ctl_now(c));
 	*mod_rev = p.nr ? p.rows[0].mod_rev : 0;
 	if (p.nr)
 		best = view_parse(p.rows[0].value, p.rows[0].len, &e);
-	items = ctl_ask(c, "items view/");
+	items = ctl_query_entry(c, "items view/");
 	rows = jsn_get(items, "items");
 	for (i = 0; i < jsn_len(rows); i++) {
 		struct json_object *body =
@@ -94,16 +94,16 @@
 			 done ? "written" : "lost-race");
 }
 
-static void propose(struct control *c, struct proposing *p)
+static void propose_view(struct control *c, struct view_proposal *p)
 {
 	struct view *last, *want;
 	int64_t mod_rev = 0;
 	bool ok;
 
-	last = last_view(c, &mod_rev, &ok);
+	last = newest_view(c, &mod_rev, &ok);
 	if (!ok)
 		return;
-	want = wanted_view(c, last);
+	want = build_view(c, last);
 	if (!want || !want->nr || (last && view_same_members(want, last))) {
 		view_free(p->want);
 		p->want = NULL;
@@ -126,59 +126,60 @@
  * Reading the service each round would cost calls while nothing changes, so
  * the entry's members are compared first.
  */
-static bool changed(struct control *c, uint64_t *seen)
+static bool members_changed(struct control *c, uint64_t *last_hash)
 {
-	JSN_AUTO *o = ctl_ask(c, "members");
+	JSN_AUTO *o = ctl_query_entry(c, "members");
 	const char *text =
 		o ? json_object_to_json_string_ext(o, JSON_C_TO_STRING_PLAIN)
 		  : "";
-	const uint64_t h = *text ? view_instance_id(text, 0) : *seen;
-	const bool differs = h != *seen;
+	const uint64_t h = *text ? view_instance_id(text, 0) : *last_hash;
+	const bool differs = h != *last_hash;
 
-	*seen = h;
+	*last_hash = h;
 	return differs;
 }
 
-#define ASK_MS 2000
+#define CANDIDATE_CHECK_MS 2000
 
-static bool is_candidate(struct control *c, int64_t now, int64_t *asked)
+static bool is_candidate(struct control *c, int64_t now, int64_t *last_check_ms)
 {
 	JSN_AUTO *o = NULL;
 
-	if (now - *asked < ASK_MS)
+	if (now - *last_check_ms < CANDIDATE_CHECK_MS)
 		return false;
-	*asked = now;
-	o = ctl_ask(c, "members");
+	*last_check_ms = now;
+	o = ctl_query_entry(c, "members");
 	return o && ctl_is_candidate(c, o, "members");
 }
 
 /* After a change the rounds go on until the view has settled; and a slow
  * round goes on for ever, in case a write was lost unseen. */
 #define ACTIVE_MS 5000
-#define IDLE_ROUND_MS 10000
+#define IDLE_INTERVAL_MS 10000
 
 void *ctl_members_run(void *arg)
 {
 	struct control *c = arg;
-	struct proposing p = { 0 };
-	int64_t active_until = ctl_now(c) + ACTIVE_MS, next_idle = 0;
-	uint64_t seen = 0;
-	int64_t asked = 0;
+	struct view_proposal p = { 0 };
+	int64_t active_until_ms = ctl_now(c) + ACTIVE_MS, next_idle_ms = 0;
+	uint64_t last_hash = 0;
+	int64_t last_check_ms = 0;
 
 	while (!atomic_load(&c->stopping)) {
 		const int64_t now = ctl_now(c);
 
-		if (c->members.duty.fence || is_candidate(c, now, &asked))
-			ctl_duty_run(c, &c->members);
+		if (c->members.duty.fence ||
+		    is_candidate(c, now, &last_check_ms))
+			ctl_duty_step(c, &c->members);
 		if (duty_may_act(&c->members.duty, now)) {
-			if (changed(c, &seen))
-				active_until = now + ACTIVE_MS;
-			if (now < active_until || now >= next_idle) {
-				next_idle = now + IDLE_ROUND_MS;
-				propose(c, &p);
+			if (members_changed(c, &last_hash))
+				active_until_ms = now + ACTIVE_MS;
+			if (now < active_until_ms || now >= next_idle_ms) {
+				next_idle_ms = now + IDLE_INTERVAL_MS;
+				propose_view(c, &p);
 			}
 		} else {
-			seen = 0;
+			last_hash = 0;
 		}
 		clk_sleep_ms(TICK_MS);
 	}
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -13,34 +13,34 @@
 #include "control/control_internal.h"
 
 #define TICK_MS 500
-#define ROUND_MS 1000
-#define OFFERS_MS 3000
-#define STATE_MS 500
+#define ROUND_INTERVAL_MS 1000
+#define OFFERS_INTERVAL_MS 3000
+#define ENGINE_TIMEOUT_MS 500
 
 /* Controls that try for a duty's lease: one, and one that waits for it. */
-#define CANDIDATES 2
+#define CANDIDATES_PER_DUTY 2
 
 /* A move must save this part of the price (see plan.h). */
 #define STAY_BONUS 0.15
 
 /* A quarter of the replicas may change version at once. */
-#define ROLLOUT_PART 4
+#define ROLLOUT_DIVISOR 4
 
-struct seen_instance {
+struct observed_instance {
 	struct cloud_instance in;
 	struct engine_state state;
 	bool reported;
 };
 
-struct ctl_place {
+struct ctl_placement {
 	struct ctl_duty duty;
 	char service[DOC_NAME_MAX];
 	struct plan_offer offers[DOC_MAX_MODELS][PLAN_MAX_OFFERS];
 	size_t nr_offers;
-	int64_t offers_ms;
-	int64_t round_ms;
+	int64_t offers_read_ms;
+	int64_t last_round_ms;
 	double weights_mb_per_s; /* of the weight store; -1: not known */
-	char token[96];		 /* of a start whose answer was lost */
+	char start_token[96];	 /* of a start whose answer was lost */
 	size_t token_offer, token_model;
 	uint64_t next_token;
 };
@@ -85,7 +85,7 @@
 }
 
 /* Prices change; what backs off keeps doing so. */
-static void read_offers(struct control *c, struct ctl_place *p,
+static void read_offers(struct control *c, struct ctl_placement *p,
 			const struct doc *d)
 {
 	struct cloud_offer rows[PLAN_MAX_OFFERS];
@@ -116,24 +116,24 @@
 	}
 }
 
-static void read_state(struct control *c, struct seen_instance *s)
+static void read_state(struct control *c, struct observed_instance *s)
 {
 	HCL_REPLY_AUTO r = HCL_REPLY_INIT;
 	struct err e = ERR_INIT;
 
 	s->reported =
 		!hcl_json(c->hcl, "GET", s->in.address, "/v1/state", NULL,
-			  STATE_MS, &r, &e) &&
+			  ENGINE_TIMEOUT_MS, &r, &e) &&
 		r.status == 200 &&
 		!engine_read_state(buf_cstr(&r.body), r.body.len, &s->state);
 }
 
 /* The service's engines that are up or coming up. */
-static struct seen_instance *
+static struct observed_instance *
 read_instances(struct control *c, const char *service, size_t *n, bool *ok)
 {
 	struct cloud_list list = { 0 };
-	struct seen_instance *out;
+	struct observed_instance *out;
 	struct err e = ERR_INIT;
 	size_t i;
 
@@ -158,9 +158,9 @@
 
 /* ---- Starts and stops ---- */
 
-static void count_instances(struct ctl_place *p, size_t m,
+static void count_instances(struct ctl_placement *p, size_t m,
 			    const struct doc_model *model,
-			    const struct seen_instance *s, size_t n)
+			    const struct observed_instance *s, size_t n)
 {
 	size_t i;
 
@@ -181,7 +181,7 @@
 	}
 }
 
-static void log_plan(const struct ctl_place *p, const struct doc_model *m,
+static void log_plan(const struct ctl_placement *p, const struct doc_model *m,
 		     const struct plan_offer *o, const char *what,
 		     const char *why)
 {
@@ -196,9 +196,9 @@
 
 /* A lost answer is asked again under the same token, which changes nothing
  * if the start had worked. */
-static void start_one(struct control *c, struct ctl_place *p,
-		      const struct doc_model *model, size_t m,
-		      struct plan_offer *o)
+static void start_instance(struct control *c, struct ctl_placement *p,
+			   const struct doc_model *model, size_t m,
+			   struct plan_offer *o)
 {
 	struct cloud_instance want = { .reclaimable = o->reclaimable };
 	struct err e = ERR_INIT;
@@ -208,21 +208,22 @@
 	str_copy(want.service, p->service, sizeof(want.service));
 	str_copy(want.kind, "engine", sizeof(want.kind));
 	str_copy(want.role, model->name, sizeof(want.role));
-	if (!*p->token || p->token_model != m ||
+	if (!*p->start_token || p->token_model != m ||
 	    p->token_offer != (size_t)(o - p->offers[m])) {
-		snprintf(p->token, sizeof(p->token), "%.40s-%llu-%llu",
-			 p->service, (unsigned long long)p->duty.duty.fence,
+		snprintf(p->start_token, sizeof(p->start_token),
+			 "%.40s-%llu-%llu", p->service,
+			 (unsigned long long)p->duty.duty.fence,
 			 (unsigned long long)p->next_token++);
 		p->token_model = m;
 		p->token_offer = (size_t)(o - p->offers[m]);
 	}
-	if (!c->cloud->vt->start(c->cloud, p->token, &want, &e)) {
+	if (!c->cloud->vt->start(c->cloud, p->start_token, &want, &e)) {
 		plan_started(o);
-		p->token[0] = '\0';
+		p->start_token[0] = '\0';
 		log_plan(p, model, o, "start", "below-plan");
 	} else if (e.code == ERR_FULL) {
 		plan_refused(o, ctl_now(c));
-		p->token[0] = '\0';
+		p->start_token[0] = '\0';
 		log_plan(p, model, o, "start", "refused");
 	} else {
 		log_plan(p, model, o, "start", "no-answer");
@@ -230,11 +231,11 @@
 }
 
 /* The one that serves least goes: not ready first. */
-static void stop_one(struct control *c, struct ctl_place *p,
-		     const struct doc_model *model, struct plan_offer *o,
-		     const struct seen_instance *s, size_t n)
+static void stop_instance(struct control *c, struct ctl_placement *p,
+			  const struct doc_model *model, struct plan_offer *o,
+			  const struct observed_instance *s, size_t n)
 {
-	const struct seen_instance *pick = NULL;
+	const struct observed_instance *pick = NULL;
 	struct err e = ERR_INIT;
 	size_t i;
 
@@ -255,9 +256,9 @@
 	log_plan(p, model, o, "stop", pick->in.id);
 }
 
-static void plan_model(struct control *c, struct ctl_place *p,
+static void plan_model(struct control *c, struct ctl_placement *p,
 		       const struct doc *d, size_t m,
-		       const struct seen_instance *s, size_t n)
+		       const struct observed_instance *s, size_t n)
 {
 	const struct doc_model *model = &d->models[m];
 	const struct plan_need need = {
@@ -278,9 +279,9 @@
 	if (!duty_may_act_unfenced(&p->duty.duty, ctl_now(c)))
 		return;
 	if (step.kind == PLAN_LAUNCH)
-		start_one(c, p, model, m, &offers[step.offer]);
+		start_instance(c, p, model, m, &offers[step.offer]);
 	else if (step.kind == PLAN_RETIRE)
-		stop_one(c, p, model, &offers[step.offer], s, n);
+		stop_instance(c, p, model, &offers[step.offer], s, n);
 }
 
 /* ---- Orders ---- */
@@ -297,7 +298,7 @@
 	o->fence = fence;
 }
 
-static void give_order(struct control *c, const struct seen_instance *s,
+static void send_order(struct control *c, const struct observed_instance *s,
 		       const struct engine_order *o)
 {
 	HCL_REPLY_AUTO r = HCL_REPLY_INIT;
@@ -305,8 +306,8 @@
 	struct err e = ERR_INIT;
 
 	engine_print_order(o, &body);
-	hcl_json(c->hcl, "PUT", s->in.address, "/v1/order", body.data, STATE_MS,
-		 &r, &e);
+	hcl_json(c->hcl, "PUT", s->in.address, "/v1/order", body.data,
+		 ENGINE_TIMEOUT_MS, &r, &e);
 	log_line(LOG_LEVEL_INFO, "place",
 		 "order instance=%s model=%s version=%s fence=%llu status=%d",
 		 s->in.id, o->model, o->version, (unsigned long long)o->fence,
@@ -314,13 +315,14 @@
 }
 
 /* A load should take this long at most; more at once share the rate. */
-#define LOAD_S 60.0
+#define TARGET_LOAD_S 60.0
 
 /* How many may load at once, so that the weight store's rate suffices. */
-static size_t loads_allowed(const struct ctl_place *p,
+static size_t loads_allowed(const struct ctl_placement *p,
 			    const struct doc_model *m)
 {
-	const double n = p->weights_mb_per_s * LOAD_S / (double)m->weights_mb;
+	const double n =
+		p->weights_mb_per_s * TARGET_LOAD_S / (double)m->weights_mb;
 
 	if (p->weights_mb_per_s < 0)
 		return 1;
@@ -331,9 +333,9 @@
  * Engines that are empty are ordered at once, as far as the weight store's
  * rate lets them load; engines that serve change a few at a time.
  */
-static void order_model(struct control *c, struct ctl_place *p,
+static void order_model(struct control *c, struct ctl_placement *p,
 			const struct doc *d, size_t m,
-			const struct seen_instance *s, size_t n)
+			const struct observed_instance *s, size_t n)
 {
 	const size_t loads = loads_allowed(p, &d->models[m]);
 	size_t serving = 0, busy = 0, allowed, i;
@@ -346,7 +348,7 @@
 		serving++;
 		busy += !s[i].state.ready;
 	}
-	allowed = serving / ROLLOUT_PART + 1;
+	allowed = serving / ROLLOUT_DIVISOR + 1;
 	for (i = 0; i < n; i++) {
 		const struct doc_class *k =
 			doc_find_class(d, s[i].in.class_name);
@@ -362,13 +364,13 @@
 		if (busy >= loads || (*s[i].state.model && busy >= allowed))
 			continue;
 		busy++;
-		give_order(c, &s[i], &o);
+		send_order(c, &s[i], &o);
 	}
 }
 
 /* ---- Rounds ---- */
 
-static void read_weight_rate(struct control *c, struct ctl_place *p)
+static void read_weight_rate(struct control *c, struct ctl_placement *p)
 {
 	struct err e = ERR_INIT;
 
@@ -376,15 +378,16 @@
 		p->weights_mb_per_s = -1;
 }
 
-static void run_round(struct control *c, struct ctl_place *p,
+static void run_round(struct control *c, struct ctl_placement *p,
 		      const struct doc *d)
 {
-	struct seen_instance *s;
+	struct observed_instance *s;
 	size_t n, m;
 	bool ok;
 
-	if (ctl_now(c) - p->offers_ms >= OFFERS_MS || !p->nr_offers) {
-		p->offers_ms = ctl_now(c);
+	if (ctl_now(c) - p->offers_read_ms >= OFFERS_INTERVAL_MS ||
+	    !p->nr_offers) {
+		p->offers_read_ms = ctl_now(c);
 		read_offers(c, p, d);
 		read_weight_rate(c, p);
 	}
@@ -397,23 +400,24 @@
 	free(s);
 }
 
-static struct ctl_place *place_for(struct control *c, const char *service)
+static struct ctl_placement *find_or_add_placement(struct control *c,
+						   const char *service)
 {
-	struct ctl_place *p;
+	struct ctl_placement *p;
 	char name[80];
 	size_t i;
 
-	for (i = 0; i < c->nr_places; i++) {
-		if (!strcmp(c->places[i]->service, service))
-			return c->places[i];
+	for (i = 0; i < c->nr_placements; i++) {
+		if (!strcmp(c->placements[i]->service, service))
+			return c->placements[i];
 	}
-	if (c->nr_places == CTL_MAX_SERVICES)
+	if (c->nr_placements == CTL_MAX_SERVICES)
 		return NULL;
 	p = mem_new(sizeof(*p));
 	str_copy(p->service, service, sizeof(p->service));
 	snprintf(name, sizeof(name), "place/%s", service);
 	ctl_duty_init(c, &p->duty, name);
-	c->places[c->nr_places++] = p;
+	c->placements[c->nr_placements++] = p;
 	return p;
 }
 
@@ -422,8 +426,8 @@
 {
 	struct json_object *rows = jsn_get(members, "members");
 	const uint64_t key = hsh_str(duty, 41);
-	const uint64_t mine = hsh_rendezvous(key, hsh_str(c->set.name, 0));
-	size_t before = 0, i;
+	const uint64_t own_score = hsh_rendezvous(key, hsh_str(c->set.name, 0));
+	size_t nr_ranked_higher = 0, i;
 
 	for (i = 0; i < jsn_len(rows); i++) {
 		struct json_object *m = json_object_array_get_idx(rows, i);
@@ -431,9 +435,10 @@
 
 		if (jsn_int(m, "state", 3) != 0 || !strcmp(name, c->set.name))
 			continue;
-		before += hsh_rendezvous(key, hsh_str(name, 0)) > mine;
+		nr_ranked_higher += hsh_rendezvous(key, hsh_str(name, 0)) >
+				    own_score;
 	}
-	return before < CANDIDATES;
+	return nr_ranked_higher < CANDIDATES_PER_DUTY;
 }
 
 static void run_service(struct control *c, struct json_object *item,
@@ -442,27 +447,28 @@
 	const char *text = jsn_str(jsn_get(item, "body"), "text", "");
 	struct err e = ERR_INIT;
 	struct doc *d = doc_parse("document", text, &e);
-	struct ctl_place *p = d ? place_for(c, d->service) : NULL;
+	struct ctl_placement *p = d ? find_or_add_placement(c, d->service)
+				    : NULL;
 
 	if (p &&
 	    (ctl_is_candidate(c, members, d->service) || p->duty.duty.fence)) {
-		ctl_duty_run(c, &p->duty);
+		ctl_duty_step(c, &p->duty);
 		if (duty_may_act(&p->duty.duty, ctl_now(c)) &&
-		    ctl_now(c) - p->round_ms >= ROUND_MS) {
-			p->round_ms = ctl_now(c);
+		    ctl_now(c) - p->last_round_ms >= ROUND_INTERVAL_MS) {
+			p->last_round_ms = ctl_now(c);
 			run_round(c, p, d);
 		}
 	}
 	doc_free(d);
 }
 
-void *ctl_place_run(void *arg)
+void *ctl_placement_run(void *arg)
 {
 	struct control *c = arg;
 
 	while (!atomic_load(&c->stopping)) {
-		JSN_AUTO *docs = ctl_ask(c, "items doc/");
-		JSN_AUTO *members = ctl_ask(c, "members");
+		JSN_AUTO *docs = ctl_query_entry(c, "items doc/");
+		JSN_AUTO *members = ctl_query_entry(c, "members");
 		struct json_object *rows = jsn_get(docs, "items");
 		size_t i;
 
@@ -474,12 +480,12 @@
 	return NULL;
 }
 
-void ctl_place_free(struct control *c)
+void ctl_placement_free(struct control *c)
 {
 	size_t i;
 
-	for (i = 0; i < c->nr_places; i++) {
-		ctl_duty_release(c, &c->places[i]->duty);
-		free(c->places[i]);
+	for (i = 0; i < c->nr_placements; i++) {
+		ctl_duty_release(c, &c->placements[i]->duty);
+		free(c->placements[i]);
 	}
 }
--- a/lib/control/ctl_watch.c
+++ b/lib/control/ctl_watch.c
@@ -11,9 +11,9 @@
 #include "control/control_internal.h"
 
 /* Watchers per availability zone: one may be down at any moment. */
-#define WATCHERS 2
+#define WATCHERS_PER_ZONE 2
 
-#define LIST_MS 1000
+#define LIST_INTERVAL_MS 1000
 #define RETRY_MS 500
 
 /* News of instances that are gone may be forgotten after this. */
@@ -33,27 +33,28 @@
 {
 	MEM_AUTO struct view_member *m = mem_new(MAX_MEMBERS * sizeof(*m));
 	MEM_AUTO int *states = mem_new(MAX_MEMBERS * sizeof(*states));
-	JSN_AUTO *o = ctl_ask(c, "members");
+	JSN_AUTO *o = ctl_query_entry(c, "members");
 	const size_t n = ctl_read_members(o, m, states, MAX_MEMBERS);
 	const uint64_t key = hsh_str(c->set.zone, 31);
-	const uint64_t mine = hsh_rendezvous(key, hsh_str(c->set.name, 0));
-	size_t before = 0, i;
+	const uint64_t own_score = hsh_rendezvous(key, hsh_str(c->set.name, 0));
+	size_t nr_ranked_higher = 0, i;
 
 	for (i = 0; i < n; i++) {
 		if (strcmp(m[i].zone, c->set.zone) || states[i] > 1 ||
 		    !strcmp(m[i].name, c->set.name))
 			continue;
-		before += hsh_rendezvous(key, hsh_str(m[i].name, 0)) > mine;
+		nr_ranked_higher += hsh_rendezvous(key, hsh_str(m[i].name, 0)) >
+				    own_score;
 	}
-	return before < WATCHERS;
+	return nr_ranked_higher < WATCHERS_PER_ZONE;
 }
 
 /* ---- Documents and views ---- */
 
-struct watching {
+struct watch_state {
 	struct control *c;
 	int64_t next_rev;
-	int64_t check_ms;
+	int64_t recheck_ms;
 };
 
 /*
@@ -61,8 +62,8 @@
  * than what is in force. What operators accepted must not revert, so it is
  * written back, and an alarm raised.
  */
-static void heal(struct control *c, const struct kv_pair *p,
-		 const char *in_force, int64_t serial, int64_t shown)
+static void restore_value(struct control *c, const struct kv_pair *p,
+			  const char *in_force, int64_t serial, int64_t shown)
 {
 	const struct kv_compare cmp = { p->key, p->mod_rev };
 	const struct kv_put put = { p->key, in_force, 0 };
@@ -77,55 +78,55 @@
 		 done ? "yes" : "no");
 }
 
-static void take_doc(struct control *c, const struct kv_pair *p)
+static void publish_doc(struct control *c, const struct kv_pair *p)
 {
 	const char *name = p->key + strlen("/marldock/");
 	JSN_AUTO *o = jsn_parse(p->value, p->len);
 	const int64_t serial = jsn_int(o, "serial", 0);
 	JSN_AUTO *known = NULL;
 	char what[256];
-	int64_t have;
+	int64_t known_serial;
 
 	if (serial <= 0)
 		return;
-	ctl_give(c, name, (uint64_t)serial, p->value, 0);
+	ctl_publish_item(c, name, (uint64_t)serial, p->value, 0);
 	snprintf(what, sizeof(what), "item %.200s", name);
-	known = ctl_ask(c, what);
-	have = jsn_int(known, "serial", 0);
-	if (have > serial)
-		heal(c, p,
-		     json_object_to_json_string_ext(known,
-						    JSON_C_TO_STRING_PLAIN),
-		     have, serial);
+	known = ctl_query_entry(c, what);
+	known_serial = jsn_int(known, "serial", 0);
+	if (known_serial > serial)
+		restore_value(c, p,
+			      json_object_to_json_string_ext(
+				      known, JSON_C_TO_STRING_PLAIN),
+			      known_serial, serial);
 }
 
-static void take_pair(struct control *c, const struct kv_pair *p)
+static void publish_pair(struct control *c, const struct kv_pair *p)
 {
 	if (!strncmp(p->key, "/marldock/doc/", 14)) {
-		take_doc(c, p);
+		publish_doc(c, p);
 	} else if (!strcmp(p->key, "/marldock/view")) {
 		JSN_AUTO *o = jsn_parse(p->value, p->len);
 		char name[64];
 
 		snprintf(name, sizeof(name), "view/%lld",
 			 (long long)jsn_int(o, "number", 0));
-		ctl_give(c, name, 1, p->value, 0);
+		ctl_publish_item(c, name, 1, p->value, 0);
 	}
 }
 
 static bool on_event(const struct kv_event *ev, void *arg)
 {
-	struct watching *w = arg;
+	struct watch_state *w = arg;
 	struct control *c = w->c;
 
-	atomic_store(&c->kv_seen_ms, ctl_now(c));
+	atomic_store(&c->kv_last_reply_ms, ctl_now(c));
 	if (ev) {
 		if (ev->pair.mod_rev >= w->next_rev)
 			w->next_rev = ev->pair.mod_rev + 1;
 		if (!ev->deleted)
-			take_pair(c, &ev->pair);
+			publish_pair(c, &ev->pair);
 	}
-	return !atomic_load(&c->stopping) && ctl_now(c) < w->check_ms;
+	return !atomic_load(&c->stopping) && ctl_now(c) < w->recheck_ms;
 }
 
 static bool read_all(struct control *c, int64_t *next_rev)
@@ -138,11 +139,11 @@
 	if (c->kv->vt->range(c->kv, "/marldock/doc/", true, &docs, &e) ||
 	    c->kv->vt->range(c->kv, "/marldock/view", false, &view, &e))
 		return false;
-	atomic_store(&c->kv_seen_ms, ctl_now(c));
+	atomic_store(&c->kv_last_reply_ms, ctl_now(c));
 	for (i = 0; i < docs.nr; i++)
-		take_pair(c, &docs.rows[i]);
+		publish_pair(c, &docs.rows[i]);
 	for (i = 0; i < view.nr; i++)
-		take_pair(c, &view.rows[i]);
+		publish_pair(c, &view.rows[i]);
 	*next_rev = docs.revision + 1;
 	return true;
 }
@@ -150,7 +151,7 @@
 void *ctl_watch_run(void *arg)
 {
 	struct control *c = arg;
-	struct watching w = { .c = c };
+	struct watch_state w = { .c = c };
 	bool read = false;
 
 	while (!atomic_load(&c->stopping)) {
@@ -163,23 +164,23 @@
 		}
 		if (!read)
 			read = read_all(c, &w.next_rev);
-		w.check_ms = ctl_now(c) + 5000;
+		w.recheck_ms = ctl_now(c) + 5000;
 		if (!read || c->kv->vt->watch(c->kv, "/marldock/", w.next_rev,
 					      on_event, &w, &e)) {
 			/* After an outage all is read again. */
 			read = false;
 			clk_sleep_ms(RETRY_MS);
 		}
-		if (ctl_now(c) - atomic_load(&c->kv_seen_ms) < 3000)
-			json_object_put(ctl_ask(c, "kv-up"));
+		if (ctl_now(c) - atomic_load(&c->kv_last_reply_ms) < 3000)
+			json_object_put(ctl_query_entry(c, "kv-up"));
 	}
 	return NULL;
 }
 
 /* ---- Instances ---- */
 
-static void show_instance(struct control *c, const struct cloud_instance *in,
-			  int64_t version, struct json_object *known)
+static void publish_instance(struct control *c, const struct cloud_instance *in,
+			     int64_t version, struct json_object *known)
 {
 	BUF_AUTO body = BUF_INIT;
 	char name[96];
@@ -189,23 +190,23 @@
 	snprintf(name, sizeof(name), "inst/%.47s", in->id);
 	for (i = 0; i < jsn_len(known); i++) {
 		struct json_object *k = json_object_array_get_idx(known, i);
-		JSN_AUTO *fresh = NULL;
+		JSN_AUTO *new_body = NULL;
 
 		if (strcmp(jsn_str(k, "name", ""), name))
 			continue;
-		fresh = jsn_parse(body.data, body.len);
+		new_body = jsn_parse(body.data, body.len);
 		/* Nothing changed, or our list is older than the news. */
-		if (json_object_equal(jsn_get(k, "body"), fresh) ||
+		if (json_object_equal(jsn_get(k, "body"), new_body) ||
 		    jsn_int(k, "rev", 0) >= version)
 			return;
 	}
-	ctl_give(c, name, (uint64_t)version, body.data,
-		 in->state == CLOUD_GONE ? GONE_TTL_MS : 0);
+	ctl_publish_item(c, name, (uint64_t)version, body.data,
+			 in->state == CLOUD_GONE ? GONE_TTL_MS : 0);
 }
 
 /* An instance that is no longer listed is gone. */
-static void show_missing(struct control *c, const struct cloud_list *list,
-			 struct json_object *known)
+static void publish_missing(struct control *c, const struct cloud_list *list,
+			    struct json_object *known)
 {
 	size_t i, j;
 
@@ -222,7 +223,7 @@
 		    jsn_int(k, "rev", 0) >= list->version)
 			continue;
 		in.state = CLOUD_GONE;
-		show_instance(c, &in, list->version, NULL);
+		publish_instance(c, &in, list->version, NULL);
 	}
 }
 
@@ -237,12 +238,12 @@
 		log_line(LOG_LEVEL_WARN, "list", "cloud=%s", e.text);
 		return;
 	}
-	items = ctl_ask(c, "items inst/");
+	items = ctl_query_entry(c, "items inst/");
 	if (items) {
 		for (i = 0; i < list.nr; i++)
-			show_instance(c, &list.rows[i], list.version,
-				      jsn_get(items, "items"));
-		show_missing(c, &list, jsn_get(items, "items"));
+			publish_instance(c, &list.rows[i], list.version,
+					 jsn_get(items, "items"));
+		publish_missing(c, &list, jsn_get(items, "items"));
 	}
 	free(list.rows);
 }
@@ -254,14 +255,14 @@
 	while (!atomic_load(&c->stopping)) {
 		if (is_watcher(c))
 			read_list(c);
-		clk_sleep_ms(LIST_MS);
+		clk_sleep_ms(LIST_INTERVAL_MS);
 	}
 	return NULL;
 }
 
 /* ---- Notices ---- */
 
-static void show_notice(struct control *c, const struct cloud_notice *n)
+static void publish_notice(struct control *c, const struct cloud_notice *n)
 {
 	const int64_t end =
 		(clk_wall_ms(c->clk) + n->end_in_ms) / NOTICE_ROUND_MS;
@@ -272,7 +273,7 @@
 		 (long long)(end * NOTICE_ROUND_MS));
 	log_line(LOG_LEVEL_INFO, "reclaim", "notice instance=%s end_in_ms=%lld",
 		 n->instance, (long long)n->end_in_ms);
-	ctl_give(c, name, (uint64_t)end, body, NOTICE_TTL_MS);
+	ctl_publish_item(c, name, (uint64_t)end, body, NOTICE_TTL_MS);
 }
 
 void *ctl_notice_run(void *arg)
@@ -292,7 +293,7 @@
 		}
 		for (i = 0; i < n; i++) {
 			if (rows[i].end_in_ms > 0)
-				show_notice(c, &rows[i]);
+				publish_notice(c, &rows[i]);
 		}
 	}
 	return NULL;
