--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -8,10 +8,13 @@
 #include "base/rnd.h"
 #include "control/control_internal.h"
 
+/* Timeout of a call to the local entry. */
 #define ENTRY_TIMEOUT_MS 2000
+
+/* Threads for calls to the local entry. */
 #define LINK_THREADS 4
 
-/* ---- The entry beside us ---- */
+/* ---- Calls to the local entry ---- */
 
 static void fill_head(struct control *c, peer_head *h)
 {
@@ -114,9 +117,9 @@
 }
 
 /*
- * Creates the duty's key under a fresh lease. A lost answer leaves the key
- * with our name in it, so reading tells whose it is; the fence is the
- * revision at which the key was created.
+ * Creates the duty's key under a new lease. If the reply is lost, the key may
+ * exist with this process as its holder, so the key is read before and after
+ * the transaction. The fencing token is the key's create revision.
  */
 static void acquire_lease(struct control *c, struct ctl_duty *d)
 {
@@ -129,8 +132,9 @@
 	struct err e = ERR_INIT;
 	bool done = false, never_held = false;
 
-	/* A key without a lease tells whether the duty was ever held: only
-	 * the very first holder need not wait out a former one. */
+	/* A second key, without a lease, records that the duty has been held.
+	 * Only the first holder ever may skip the wait until the lease of a
+	 * previous holder has expired. */
 	snprintf(ever_held_key, sizeof(ever_held_key), "%s.ever", d->key);
 
 	if (c->kv->vt->range(c->kv, d->key, false, &current, &e)) {
@@ -211,7 +215,7 @@
 	d->lease = 0;
 }
 
-/* ---- Starting and stopping ---- */
+/* ---- Start and stop ---- */
 
 struct control *control_start(const struct set *s, struct err *e)
 {
--- a/lib/control/control.h
+++ b/lib/control/control.h
@@ -1,14 +1,17 @@
 /*
- * control: the duties that are not on the request path, beside each entry.
+ * control (prefix ctl_, for "control"): control-plane tasks, run in a process
+ * of its own beside each entry and off the request path.
  *
- *   watch     what operators accepted, from the key-value service
- *   list      the instance list, and reclaim notices
- *   members   views of the entries, under one lease for the fleet
- *   place     placement and orders, one lease per service
+ *   watch     reads the documents that operators accepted, and the membership
+ *             views, from the key-value service
+ *   list      polls the platform's instance list and its reclaim notices
+ *   members   writes membership views of the entries; one lease for the fleet
+ *   place     starts and stops instances and sends orders to engines; one
+ *             lease per service
  *
- * Keeps nothing: what it learns it gives to its entry, which spreads it; what
- * it decides it derives anew from what the platform and the endpoints report.
- * Any control process may die at any moment.
+ * The process holds no durable state: it publishes its observations to the
+ * local entry, which gossips them, and recomputes each decision from what the
+ * platform and the endpoints report. So it may crash at any point.
  */
 #ifndef CONTROL_H
 #define CONTROL_H
@@ -18,10 +21,17 @@
 
 struct control;
 
-/* Starts all duties. `s` are the settings of the entry beside it. */
+/*
+ * control_start() : starts the threads of all tasks.
+ * @s : settings of the local entry; copied.
+ * @e : unused, since no error is reported; aborts if a thread can't start.
+ * Ignores SIGPIPE for the whole process.
+ * @return : never NULL; to be freed with control_stop().
+ */
 struct control *control_start(const struct set *s, struct err *e);
 
-/* Gives the leases back and stops. */
+/* control_stop() : stops and joins all threads, revokes the leases that are
+ * held, and frees `c`. */
 void control_stop(struct control *c);
 
 #endif
--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -1,3 +1,6 @@
+/*
+ * ctl (control): declarations shared by the files of this module.
+ */
 #ifndef CONTROL_INTERNAL_H
 #define CONTROL_INTERNAL_H
 
@@ -19,13 +22,15 @@
 #include "platform/engine.h"
 #include "platform/kv.h"
 
+/* Services that one process can place; further ones are ignored. */
 #define CTL_MAX_SERVICES 64
 
-/* A duty and the key it is held by. */
+/* A duty, and the key and lease in the key-value service that assign it to
+ * one holder. */
 struct ctl_duty {
 	struct duty duty;
 	char key[KV_KEY_MAX];
-	int64_t lease;
+	int64_t lease; /* lease id; 0: none */
 };
 
 struct ctl_placement;
@@ -35,15 +40,14 @@
 	const struct clk *clk;
 	char mac[17];
 	uint64_t boot;
-	char holder[96]; /* what we write into duty keys */
+	char holder[96]; /* value of duty keys: entry name, '#', nonce */
 
 	struct hcl *hcl;
 	struct links *links;
 	struct kv *kv;
 	struct cloud *cloud;
 	atomic_bool stopping;
-	atomic_llong
-		kv_last_reply_ms; /* last answer of the key-value service */
+	atomic_llong kv_last_reply_ms; /* last reply of the key-value service */
 
 	struct ctl_duty members;
 	struct ctl_placement *placements[CTL_MAX_SERVICES];
@@ -58,32 +62,51 @@
 	return clk_ms(c->clk);
 }
 
-/* Gives one item to the entry beside us. True if it answered. */
+/*
+ * Publishes one item to the local entry, which gossips it.
+ * @rev    : revision of the item.
+ * @body   : JSON text.
+ * @ttl_ms : lifetime in milliseconds; 0: unlimited.
+ * @return : true if the entry replied.
+ */
 bool ctl_publish_item(struct control *c, const char *name, uint64_t rev,
 		      const char *body, int64_t ttl_ms);
 
-/* Asks the entry for a status; a new JSON object or NULL. */
+/* Queries a status of the local entry: "members", "items PREFIX" or
+ * "item NAME", for example.
+ * @return : a new JSON object that the caller releases, or NULL on error. */
 struct json_object *ctl_query_entry(struct control *c, const char *what);
 
-/* Takes, renews or drops a duty's lease as its state says. */
+/* Initializes a duty without a lease. `name` is the suffix of its key. */
 void ctl_duty_init(struct control *c, struct ctl_duty *d, const char *name);
+
+/* Acquires or renews the duty's lease if that is due. */
 void ctl_duty_step(struct control *c, struct ctl_duty *d);
+
+/* Revokes the duty's lease, if there is one. */
 void ctl_duty_release(struct control *c, struct ctl_duty *d);
 
-/* Whether this control is one of the few that try for a duty, by rendezvous
- * hash: else each lease would be read by the whole fleet. */
+/* True if this process is one of the few candidates for a duty, which are
+ * selected by rendezvous hashing. Otherwise every process of the fleet would
+ * read the key of each lease.
+ * @members : reply to the status query "members". */
 bool ctl_is_candidate(struct control *c, struct json_object *members,
 		      const char *duty);
 
-/* Threads. */
+/* Thread functions; `arg` is the struct control. They return once `stopping`
+ * is set. */
 void *ctl_watch_run(void *arg);
 void *ctl_list_run(void *arg);
 void *ctl_notice_run(void *arg);
 void *ctl_members_run(void *arg);
 void *ctl_placement_run(void *arg);
+
+/* Revokes the leases of all placements and frees the placements. */
 void ctl_placement_free(struct control *c);
 
-/* The members of a status reply, as view members with states. */
+/* Parses the reply to the status query "members".
+ * @out, @states : arrays of `max` elements; a state is an enum swim_state.
+ * @return       : number of members stored. */
 size_t ctl_read_members(struct json_object *o, struct view_member *out,
 			int *states, size_t max);
 
--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -1,5 +1,6 @@
 /*
- * The duty of the views: who the entries are, written when it changes.
+ * Membership duty: writes a new view of the entries to the key-value service
+ * when the set of live entries changes.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,17 +10,20 @@
 
 #define TICK_MS 400
 
-/* A change must stand so long, so that joins and deaths come in batches. */
+/* A change must persist for this time before it is written, so that joins and
+ * failures are batched into one view. */
 #define SETTLE_MS 800
 
+/* A view that differs from the newest one and isn't written yet. */
 struct view_proposal {
 	struct view *want;
-	int64_t since_ms;
+	int64_t since_ms; /* when `want` was first built */
 };
 
 /*
- * Alive entries, and those only suspected that the last view has: a suspicion
- * may be refuted, and each view costs every entry its transfer.
+ * Builds the next view from the alive entries, plus the suspected entries that
+ * are in the last view: a suspicion may be refuted, and each new view has to
+ * be transferred to every entry.
  */
 static struct view *build_view(struct control *c, const struct view *last)
 {
@@ -42,7 +46,8 @@
 	return view_create((last ? last->number : 0) + 1, m, kept);
 }
 
-/* The newest view: the service's, or a newer one that the entries know. */
+/* Returns the newest view: the one in the key-value service, or a newer one
+ * that the local entry has. NULL with `*ok` set: there is no view yet. */
 static struct view *newest_view(struct control *c, int64_t *mod_rev, bool *ok)
 {
 	KV_PAIRS_AUTO p = { 0 };
@@ -85,7 +90,7 @@
 	view_print(v, &body);
 	put.value = body.data;
 	if (c->kv->vt->txn(c->kv, &cmp, 1, &put, 1, &done, NULL, &e))
-		/* Perhaps written: the next round reads and sees. */
+		/* The write may have succeeded; the next round reads the key. */
 		log_line(LOG_LEVEL_WARN, "member", "view=%llu write=%s",
 			 (unsigned long long)v->number, e.text);
 	else
@@ -123,8 +128,8 @@
 }
 
 /*
- * Reading the service each round would cost calls while nothing changes, so
- * the entry's members are compared first.
+ * Compares a hash of the local entry's member list with the previous one, to
+ * save a read of the key-value service in rounds without a change.
  */
 static bool members_changed(struct control *c, uint64_t *last_hash)
 {
@@ -139,6 +144,7 @@
 	return differs;
 }
 
+/* Interval of the check whether this process is a candidate. */
 #define CANDIDATE_CHECK_MS 2000
 
 static bool is_candidate(struct control *c, int64_t now, int64_t *last_check_ms)
@@ -152,9 +158,12 @@
 	return o && ctl_is_candidate(c, o, "members");
 }
 
-/* After a change the rounds go on until the view has settled; and a slow
- * round goes on for ever, in case a write was lost unseen. */
+/* After a change, every tick runs a round for this time, until the view has
+ * settled. */
 #define ACTIVE_MS 5000
+
+/* Otherwise rounds run at this interval, in case a write was lost without an
+ * error. */
 #define IDLE_INTERVAL_MS 10000
 
 void *ctl_members_run(void *arg)
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -1,8 +1,9 @@
 /*
- * The duty of placement: for each service, how many instances of which offer,
- * and what each engine should run. The decisions are plan's; orders are
- * levels that are compared with what the engines report, so that giving one
- * twice, late, or after another holder did no harm.
+ * Placement duty: decides for each service how many instances of which offer
+ * to run, and which model each engine serves. place/plan.h makes the
+ * decisions. An order states the desired state and is compared with the state
+ * that the engine reports (level-triggered), so it is harmless to send one
+ * twice, late, or after a previous holder has sent it.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,23 +16,28 @@
 #define TICK_MS 500
 #define ROUND_INTERVAL_MS 1000
 #define OFFERS_INTERVAL_MS 3000
+
+/* Timeout of a state query or an order to an engine. */
 #define ENGINE_TIMEOUT_MS 500
 
-/* Controls that try for a duty's lease: one, and one that waits for it. */
+/* Processes that compete for a duty's lease: the holder and one standby. */
 #define CANDIDATES_PER_DUTY 2
 
-/* A move must save this part of the price (see plan.h). */
+/* Fraction of the price that a move must save (see place/plan.h). */
 #define STAY_BONUS 0.15
 
-/* A quarter of the replicas may change version at once. */
+/* During a rollout, 1/4 of the replicas, plus one, may change version at the
+ * same time. */
 #define ROLLOUT_DIVISOR 4
 
+/* An instance of the platform's list and the state that its engine reports. */
 struct observed_instance {
 	struct cloud_instance in;
 	struct engine_state state;
-	bool reported;
+	bool reported; /* `state` was read */
 };
 
+/* Placement of one service. */
 struct ctl_placement {
 	struct ctl_duty duty;
 	char service[DOC_NAME_MAX];
@@ -39,13 +45,13 @@
 	size_t nr_offers;
 	int64_t offers_read_ms;
 	int64_t last_round_ms;
-	double weights_mb_per_s; /* of the weight store; -1: not known */
-	char start_token[96];	 /* of a start whose answer was lost */
+	double weights_mb_per_s; /* of the weight store; -1: unknown */
+	char start_token[96]; /* idempotency token of a start without a reply */
 	size_t token_offer, token_model;
 	uint64_t next_token;
 };
 
-/* ---- What there is ---- */
+/* ---- Offers and instances ---- */
 
 static bool zone_allowed(const struct doc *d, const char *zone)
 {
@@ -84,7 +90,8 @@
 	return NULL;
 }
 
-/* Prices change; what backs off keeps doing so. */
+/* Updates the prices of known offers and appends new offers. The backoff state
+ * of an offer is kept. */
 static void read_offers(struct control *c, struct ctl_placement *p,
 			const struct doc *d)
 {
@@ -128,7 +135,8 @@
 		!engine_read_state(buf_cstr(&r.body), r.body.len, &s->state);
 }
 
-/* The service's engines that are up or coming up. */
+/* Returns the service's engine instances that are starting or running; the
+ * caller frees the array. `*ok`: the platform's list was read. */
 static struct observed_instance *
 read_instances(struct control *c, const char *service, size_t *n, bool *ok)
 {
@@ -194,8 +202,8 @@
 		 why);
 }
 
-/* A lost answer is asked again under the same token, which changes nothing
- * if the start had worked. */
+/* If the reply is lost, the start is retried with the same idempotency token,
+ * which has no effect if the first call succeeded. */
 static void start_instance(struct control *c, struct ctl_placement *p,
 			   const struct doc_model *model, size_t m,
 			   struct plan_offer *o)
@@ -230,7 +238,8 @@
 	}
 }
 
-/* The one that serves least goes: not ready first. */
+/* Stops the instance with the fewest running requests; instances that aren't
+ * ready come first. */
 static void stop_instance(struct control *c, struct ctl_placement *p,
 			  const struct doc_model *model, struct plan_offer *o,
 			  const struct observed_instance *s, size_t n)
@@ -314,10 +323,12 @@
 		 r.status);
 }
 
-/* A load should take this long at most; more at once share the rate. */
+/* Target for the duration of a weight load, in seconds. Concurrent loads share
+ * the weight store's rate. */
 #define TARGET_LOAD_S 60.0
 
-/* How many may load at once, so that the weight store's rate suffices. */
+/* Returns how many engines may load weights at the same time without exceeding
+ * TARGET_LOAD_S at the weight store's rate; at least 1. */
 static size_t loads_allowed(const struct ctl_placement *p,
 			    const struct doc_model *m)
 {
@@ -330,8 +341,9 @@
 }
 
 /*
- * Engines that are empty are ordered at once, as far as the weight store's
- * rate lets them load; engines that serve change a few at a time.
+ * Sends orders to the engines whose state differs from the order. Engines
+ * without a model are limited only by the weight store's rate; engines that
+ * have one are changed a few at a time.
  */
 static void order_model(struct control *c, struct ctl_placement *p,
 			const struct doc *d, size_t m,
@@ -392,7 +404,7 @@
 		read_weight_rate(c, p);
 	}
 	s = read_instances(c, p->service, &n, &ok);
-	/* With no list a plan would start what there is already. */
+	/* Without the list, a plan would start instances that exist already. */
 	for (m = 0; ok && m < d->nr_models; m++) {
 		plan_model(c, p, d, m, s, n);
 		order_model(c, p, d, m, s, n);
--- a/lib/control/ctl_watch.c
+++ b/lib/control/ctl_watch.c
@@ -1,8 +1,9 @@
 /*
- * Watching the platform: the operators' documents and the views in the
- * key-value service, the instance list, and reclaim notices.
+ * Watches of the key-value service (operators' documents, membership views) and
+ * of the platform (instance list, reclaim notices).
  *
- * Only a few per availability zone watch; the rest learn from their peers.
+ * Only a few processes per availability zone watch; the other entries receive
+ * the items by gossip.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,25 +11,29 @@
 #include "base/hsh.h"
 #include "control/control_internal.h"
 
-/* Watchers per availability zone: one may be down at any moment. */
+/* Two watchers per availability zone, so that one may be down. */
 #define WATCHERS_PER_ZONE 2
 
 #define LIST_INTERVAL_MS 1000
 #define RETRY_MS 500
 
-/* News of instances that are gone may be forgotten after this. */
+/* Lifetime of an item that reports an instance as gone. */
 #define GONE_TTL_MS 120000
+
+/* Lifetime of a reclaim notice's item. */
 #define NOTICE_TTL_MS 120000
 
 /*
- * Several watchers hear one notice, each a little later. The end, rounded
- * down, is the revision too: so one revision never has two bodies.
+ * Several watchers receive the same notice at slightly different times. The
+ * end time is rounded down to this unit and also serves as the item's revision,
+ * so that one revision never has two different bodies.
  */
 #define NOTICE_ROUND_MS 100
 
 #define MAX_MEMBERS VIEW_MAX_MEMBERS
 
-/* True if this one is among its zone's watchers, by rendezvous hash. */
+/* True if this process is one of its zone's watchers, which are selected by
+ * rendezvous hashing. */
 static bool is_watcher(struct control *c)
 {
 	MEM_AUTO struct view_member *m = mem_new(MAX_MEMBERS * sizeof(*m));
@@ -53,14 +58,15 @@
 
 struct watch_state {
 	struct control *c;
-	int64_t next_rev;
-	int64_t recheck_ms;
+	int64_t next_rev;   /* first revision that isn't read yet */
+	int64_t recheck_ms; /* when the watch ends to run is_watcher() */
 };
 
 /*
- * The service was restored from an old backup if it shows a lower revision
- * than what is in force. What operators accepted must not revert, so it is
- * written back, and an alarm raised.
+ * Called when the key-value service holds a lower serial than the document in
+ * force, which means that it was restored from an old backup. An accepted
+ * document must not revert, so the one in force is written back and an alarm
+ * is raised.
  */
 static void restore_value(struct control *c, const struct kv_pair *p,
 			  const char *in_force, int64_t serial, int64_t shown)
@@ -167,7 +173,7 @@
 		w.recheck_ms = ctl_now(c) + 5000;
 		if (!read || c->kv->vt->watch(c->kv, "/marldock/", w.next_rev,
 					      on_event, &w, &e)) {
-			/* After an outage all is read again. */
+			/* After an outage, all keys are read again. */
 			read = false;
 			clk_sleep_ms(RETRY_MS);
 		}
@@ -195,7 +201,7 @@
 		if (strcmp(jsn_str(k, "name", ""), name))
 			continue;
 		new_body = jsn_parse(body.data, body.len);
-		/* Nothing changed, or our list is older than the news. */
+		/* Unchanged, or the list is older than the known item. */
 		if (json_object_equal(jsn_get(k, "body"), new_body) ||
 		    jsn_int(k, "rev", 0) >= version)
 			return;
@@ -204,7 +210,7 @@
 			 in->state == CLOUD_GONE ? GONE_TTL_MS : 0);
 }
 
-/* An instance that is no longer listed is gone. */
+/* Publishes the known instances that are no longer listed as gone. */
 static void publish_missing(struct control *c, const struct cloud_list *list,
 			    struct json_object *known)
 {
@@ -260,7 +266,7 @@
 	return NULL;
 }
 
-/* ---- Notices ---- */
+/* ---- Reclaim notices ---- */
 
 static void publish_notice(struct control *c, const struct cloud_notice *n)
 {
