--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -11,7 +11,7 @@
 /* Timeout of a call to the local entry. */
 #define ENTRY_TIMEOUT_MS 2000
 
-/* Threads for calls to the local entry. */
+/* Threads of the RPC client. */
 #define LINK_THREADS 4
 
 /* ---- Calls to the local entry ---- */
--- a/lib/control/control.h
+++ b/lib/control/control.h
@@ -24,7 +24,7 @@
 /*
  * control_start() : starts the threads of all tasks.
  * @s : settings of the local entry; copied.
- * @e : unused, since no error is reported; aborts if a thread can't start.
+ * @e : unused; the process aborts if a thread can't start.
  * Ignores SIGPIPE for the whole process.
  * @return : never NULL; to be freed with control_stop().
  */
--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -38,9 +38,10 @@
 struct control {
 	struct set set;
 	const struct clk *clk;
-	char mac[17];
-	uint64_t boot;
-	char holder[96]; /* value of duty keys: entry name, '#', nonce */
+	char mac[17];  /* authenticates calls to the local entry */
+	uint64_t boot; /* wall clock at the start of the process, ms */
+	char holder
+		[96]; /* value of duty keys: entry name, '#', random number */
 
 	struct hcl *hcl;
 	struct links *links;
@@ -49,7 +50,7 @@
 	atomic_bool stopping;
 	atomic_llong kv_last_reply_ms; /* last reply of the key-value service */
 
-	struct ctl_duty members;
+	struct ctl_duty members; /* writing membership views */
 	struct ctl_placement *placements[CTL_MAX_SERVICES];
 	size_t nr_placements;
 
--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -8,6 +8,7 @@
 #include "control/control_internal.h"
 #include "member/swim.h"
 
+/* Interval between iterations of the thread. */
 #define TICK_MS 400
 
 /* A change must persist for this time before it is written, so that joins and
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -13,7 +13,10 @@
 #include "base/rnd.h"
 #include "control/control_internal.h"
 
+/* Interval between iterations of the thread. */
 #define TICK_MS 500
+
+/* Minimum intervals of a service's placement rounds and of reading offers. */
 #define ROUND_INTERVAL_MS 1000
 #define OFFERS_INTERVAL_MS 3000
 
@@ -328,7 +331,8 @@
 #define TARGET_LOAD_S 60.0
 
 /* Returns how many engines may load weights at the same time without exceeding
- * TARGET_LOAD_S at the weight store's rate; at least 1. */
+ * TARGET_LOAD_S at the weight store's rate; at least 1, and 1 if that rate is
+ * unknown. */
 static size_t loads_allowed(const struct ctl_placement *p,
 			    const struct doc_model *m)
 {
--- a/lib/control/ctl_watch.c
+++ b/lib/control/ctl_watch.c
@@ -14,6 +14,7 @@
 /* Two watchers per availability zone, so that one may be down. */
 #define WATCHERS_PER_ZONE 2
 
+/* Interval of reading the instance list, and delay after a failed call. */
 #define LIST_INTERVAL_MS 1000
 #define RETRY_MS 500
 
@@ -58,8 +59,8 @@
 
 struct watch_state {
 	struct control *c;
-	int64_t next_rev;   /* first revision that isn't read yet */
-	int64_t recheck_ms; /* when the watch ends to run is_watcher() */
+	int64_t next_rev;   /* first revision not read yet */
+	int64_t recheck_ms; /* end of the watch, to check is_watcher() again */
 };
 
 /*
@@ -201,7 +202,7 @@
 		if (strcmp(jsn_str(k, "name", ""), name))
 			continue;
 		new_body = jsn_parse(body.data, body.len);
-		/* Unchanged, or the list is older than the known item. */
+		/* Unchanged, or the list is not newer than the known item. */
 		if (json_object_equal(jsn_get(k, "body"), new_body) ||
 		    jsn_int(k, "rev", 0) >= version)
 			return;
@@ -210,7 +211,7 @@
 			 in->state == CLOUD_GONE ? GONE_TTL_MS : 0);
 }
 
-/* Publishes the known instances that are no longer listed as gone. */
+/* Publishes state CLOUD_GONE for known instances that are no longer listed. */
 static void publish_missing(struct control *c, const struct cloud_list *list,
 			    struct json_object *known)
 {
