--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -38,10 +38,9 @@
 struct control {
 	struct set set;
 	const struct clk *clk;
-	char mac[17];  /* authenticates calls to the local entry */
-	uint64_t boot; /* wall clock at the start of the process, ms */
-	char holder
-		[96]; /* value of duty keys: entry name, '#', random number */
+	char mac[17];	 /* authenticates calls to the local entry */
+	uint64_t boot;	 /* wall clock at the start of the process, ms */
+	char holder[96]; /* value of duty keys: NAME#RANDOM */
 
 	struct hcl *hcl;
 	struct links *links;
