--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -91,7 +91,7 @@
 	view_print(v, &body);
 	put.value = body.data;
 	if (c->kv->vt->txn(c->kv, &cmp, 1, &put, 1, &done, NULL, &e))
-		/* The write may have succeeded; the next round reads the key. */
+		/* The write may have succeeded; the next round reads it. */
 		log_line(LOG_LEVEL_WARN, "member", "view=%llu write=%s",
 			 (unsigned long long)v->number, e.text);
 	else
