--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -386,7 +386,7 @@
 					  .max_replicas = 60,
 					  .survive_zone_loss = true,
 					  .allow_reclaimable = true,
-					  .stay_bonus = 0.15 };
+					  .incumbent_discount = 0.15 };
 		double price = 0;
 
 		move_prices(&m, o);
@@ -398,7 +398,7 @@
 			plan_solve(&need, o, 2 * ZONES, step);
 		} else {
 			/* Hindsight: the best mix each minute, moves free. */
-			need.stay_bonus = 0;
+			need.incumbent_discount = 0;
 			need.demand = day_demand(step);
 			for (i = 0; i < 2 * ZONES; i++)
 				o[i].have = 0;
--- a/bench/policy_world.c
+++ b/bench/policy_world.c
@@ -309,7 +309,7 @@
 	struct rescue_notice n = {
 		.now_ms = w->now,
 		.end_ms = w->now + notice_ms,
-		.between_tokens_ms = e->tpot_ms,
+		.inter_token_ms = e->tpot_ms,
 		.move_fixed_ms = 30,
 	};
 	size_t nr = 0, i;
@@ -323,8 +323,8 @@
 		s[nr] = (struct rescue_stream){
 			.tag = i,
 			.prompt_tokens = r->prompt,
-			.done_tokens = r->have,
-			.left_tokens = r->answer - r->have,
+			.generated_tokens = r->have,
+			.max_remaining_tokens = r->answer - r->have,
 			.kv_mb = (r->prompt + r->have) * 0.125,
 			.deadline_ms = r->born + 60000,
 			.weight = w->d->a[r->account].weight,
@@ -332,7 +332,7 @@
 		nr++;
 	}
 	if (w->kv_moves && e->nr_run + e->nr_wait)
-		n.mb_per_s = 400.0 * (double)nr / (e->nr_run + e->nr_wait);
+		n.kv_mb_per_s = 400.0 * (double)nr / (e->nr_run + e->nr_wait);
 	rescue_plan(&n, s, nr);
 	for (i = 0; i < nr; i++) {
 		struct req *r = &w->reqs[s[i].tag];
--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -164,8 +164,8 @@
 			return;
 		}
 	}
-	duty_taken(&d->duty, (uint64_t)now.rows[0].create_rev, fresh,
-		   ctl_now(c));
+	duty_acquired(&d->duty, (uint64_t)now.rows[0].create_rev, fresh,
+		      ctl_now(c));
 	log_line(LOG_LEVEL_INFO, "duty", "duty=%s taken fence=%lld", d->key,
 		 (long long)now.rows[0].create_rev);
 }
@@ -189,7 +189,7 @@
 void ctl_duty_run(struct control *c, struct ctl_duty *d)
 {
 	switch (duty_tick(&d->duty, ctl_now(c))) {
-	case DUTY_TAKE:
+	case DUTY_ACQUIRE:
 		take(c, d);
 		break;
 	case DUTY_RENEW:
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -217,11 +217,11 @@
 		p->token_offer = (size_t)(o - p->offers[m]);
 	}
 	if (!c->cloud->vt->start(c->cloud, p->token, &want, &e)) {
-		plan_started(o);
+		plan_launch_succeeded(o);
 		p->token[0] = '\0';
 		log_plan(p, model, o, "start", "below-plan");
 	} else if (e.code == ERR_FULL) {
-		plan_refused(o, ctl_now(c));
+		plan_launch_refused(o, ctl_now(c));
 		p->token[0] = '\0';
 		log_plan(p, model, o, "start", "refused");
 	} else {
@@ -267,7 +267,7 @@
 		.survive_zone_loss = d->survive_zone_loss,
 		.allow_reclaimable = d->allow_reclaimable,
 		.recompute_cost = 0.01 * d->recompute_weight,
-		.stay_bonus = STAY_BONUS,
+		.incumbent_discount = STAY_BONUS,
 	};
 	struct plan_offer *offers = p->offers[m];
 	struct plan_step step;
--- a/lib/entry/ent_rescue.c
+++ b/lib/entry/ent_rescue.c
@@ -199,9 +199,9 @@
 
 	memset(s, 0, sizeof(*s));
 	s->prompt_tokens = rq->prompt_tokens;
-	s->done_tokens = f->tokens;
-	s->left_tokens = rq->max_tokens > f->tokens ? rq->max_tokens - f->tokens
-						    : 1;
+	s->generated_tokens = f->tokens;
+	s->max_remaining_tokens =
+		rq->max_tokens > f->tokens ? rq->max_tokens - f->tokens : 1;
 	s->kv_mb = (rq->prompt_tokens + f->tokens) * mb_per_token;
 	s->deadline_ms = f->deadline_ms;
 	s->weight = rq->weight * (rq->batch ? 0.5 : 1.0);
@@ -216,8 +216,8 @@
 	ent_req_log(rq,
 		    "rescue choice=%s tokens=%u left_tokens=%u "
 		    "notice_ms=%lld",
-		    names[s->choice], s->done_tokens, s->left_tokens,
-		    (long long)(end_ms - ent_now(en)));
+		    names[s->choice], s->generated_tokens,
+		    s->max_remaining_tokens, (long long)(end_ms - ent_now(en)));
 	if (s->choice == RESCUE_CONTINUE && is_running_at(rq, instance)) {
 		continue_elsewhere(rq, rq->flow.attempt);
 	} else if (s->choice == RESCUE_MOVE && is_running_at(rq, instance)) {
@@ -262,7 +262,7 @@
 	size_t i;
 
 	pthread_mutex_lock(&m->lock);
-	n.between_tokens_ms = (double)m->between_tokens_ms;
+	n.inter_token_ms = (double)m->between_tokens_ms;
 	ep = route_find(m->table, g->instance);
 	if (ep) {
 		/* Streams of other entries share the endpoint's bandwidth. */
@@ -270,7 +270,7 @@
 					   ? (double)ep->streams
 					   : (double)g->nr;
 
-		n.mb_per_s = ep->kv_mb_per_s * (double)g->nr / all;
+		n.kv_mb_per_s = ep->kv_mb_per_s * (double)g->nr / all;
 		mb_per_token = ep->kv_mb_per_token;
 	}
 	pthread_mutex_unlock(&m->lock);
--- a/lib/place/duty.c
+++ b/lib/place/duty.c
@@ -30,28 +30,28 @@
 
 enum duty_action duty_tick(struct duty *d, int64_t now_ms)
 {
-	if (holds(d) && now_ms >= d->valid_ms)
+	if (holds(d) && now_ms >= d->valid_until_ms)
 		go_idle(d, now_ms);
-	if (d->state == DUTY_WAITING && now_ms >= d->quiet_ms)
+	if (d->state == DUTY_WAITING && now_ms >= d->unfenced_from_ms)
 		d->state = DUTY_HELD;
-	if (d->state == DUTY_ASKING || d->renewing || now_ms < d->next_ms)
+	if (d->state == DUTY_ACQUIRING || d->renewing || now_ms < d->next_ms)
 		return DUTY_NOTHING;
-	d->asked_ms = now_ms;
+	d->request_sent_ms = now_ms;
 	if (holds(d)) {
 		d->renewing = true;
 		return DUTY_RENEW;
 	}
-	d->state = DUTY_ASKING;
-	return DUTY_TAKE;
+	d->state = DUTY_ACQUIRING;
+	return DUTY_ACQUIRE;
 }
 
 static void extend(struct duty *d)
 {
-	d->valid_ms = d->asked_ms + d->lease_ms - d->margin_ms;
-	d->next_ms = d->asked_ms + d->lease_ms / RENEW_PART;
+	d->valid_until_ms = d->request_sent_ms + d->lease_ms - d->margin_ms;
+	d->next_ms = d->request_sent_ms + d->lease_ms / RENEW_PART;
 }
 
-void duty_taken(struct duty *d, uint64_t fence, bool fresh, int64_t now_ms)
+void duty_acquired(struct duty *d, uint64_t fence, bool fresh, int64_t now_ms)
 {
 	d->fence = fence;
 	extend(d);
@@ -60,7 +60,8 @@
 	 * stops before the service lets the key go; the wait covers orders
 	 * that it had on the way then.
 	 */
-	d->quiet_ms = fresh ? now_ms : now_ms + d->lease_ms + d->margin_ms;
+	d->unfenced_from_ms = fresh ? now_ms
+				    : now_ms + d->lease_ms + d->margin_ms;
 	d->state = DUTY_WAITING;
 }
 
@@ -72,7 +73,7 @@
 void duty_renewed(struct duty *d, int64_t now_ms)
 {
 	d->renewing = false;
-	if (!holds(d) || now_ms >= d->valid_ms) {
+	if (!holds(d) || now_ms >= d->valid_until_ms) {
 		go_idle(d, now_ms);
 		return;
 	}
@@ -96,10 +97,11 @@
 
 bool duty_may_act(const struct duty *d, int64_t now_ms)
 {
-	return holds(d) && now_ms < d->valid_ms;
+	return holds(d) && now_ms < d->valid_until_ms;
 }
 
 bool duty_may_act_unfenced(const struct duty *d, int64_t now_ms)
 {
-	return holds(d) && now_ms < d->valid_ms && now_ms >= d->quiet_ms;
+	return holds(d) && now_ms < d->valid_until_ms &&
+	       now_ms >= d->unfenced_from_ms;
 }
--- a/lib/place/duty.h
+++ b/lib/place/duty.h
@@ -14,27 +14,27 @@
 #include <stdint.h>
 
 enum duty_state {
-	DUTY_IDLE,    /* not held; another may hold it */
-	DUTY_ASKING,  /* a call to take it is under way */
-	DUTY_WAITING, /* held, waiting out the former holder */
-	DUTY_HELD,    /* held: orders may be given */
+	DUTY_IDLE,	/* not held; another may hold it */
+	DUTY_ACQUIRING, /* a call to take it is under way */
+	DUTY_WAITING,	/* held, waiting out the former holder */
+	DUTY_HELD,	/* held: orders may be given */
 };
 
 enum duty_action {
 	DUTY_NOTHING,
-	DUTY_TAKE,  /* grant a lease, then create the duty's key if absent */
-	DUTY_RENEW, /* keep the lease alive */
+	DUTY_ACQUIRE, /* grant a lease, then create the duty's key if absent */
+	DUTY_RENEW,   /* keep the lease alive */
 };
 
 struct duty {
 	enum duty_state state;
 	int64_t lease_ms;
 	int64_t margin_ms;
-	int64_t asked_ms; /* before the last request was sent */
-	int64_t valid_ms; /* end of what we hold, margin taken off */
-	int64_t quiet_ms; /* orders wait until then */
-	int64_t next_ms;  /* next action */
-	uint64_t fence;	  /* the key's create revision: rises by holder */
+	int64_t request_sent_ms;  /* before the last request was sent */
+	int64_t valid_until_ms;	  /* end of what we hold, margin taken off */
+	int64_t unfenced_from_ms; /* orders wait until then */
+	int64_t next_ms;	  /* next action */
+	uint64_t fence; /* the key's create revision: rises by holder */
 	bool renewing;
 };
 
@@ -45,12 +45,12 @@
 enum duty_action duty_tick(struct duty *d, int64_t now_ms);
 
 /*
- * DUTY_TAKE succeeded with `fence`. `fresh` is true if it is known that the
+ * DUTY_ACQUIRE succeeded with `fence`. `fresh` is true if it is known that the
  * duty had no former holder whose lease could still run.
  */
-void duty_taken(struct duty *d, uint64_t fence, bool fresh, int64_t now_ms);
+void duty_acquired(struct duty *d, uint64_t fence, bool fresh, int64_t now_ms);
 
-/* DUTY_TAKE found another holder. */
+/* DUTY_ACQUIRE found another holder. */
 void duty_refused(struct duty *d, int64_t now_ms);
 
 /* DUTY_RENEW succeeded. */
--- a/lib/place/plan.c
+++ b/lib/place/plan.c
@@ -69,7 +69,7 @@
 	if (o->reclaimable && !need->allow_reclaimable)
 		return false;
 	return o->capacity > 0 && o->price_per_h >= 0 &&
-	       (now_ms >= o->blocked_until || o->have > 0);
+	       (now_ms >= o->blocked_until_ms || o->have > 0);
 }
 
 static double unit_cost(const struct plan_need *need,
@@ -114,10 +114,10 @@
 			continue;
 		if (o->have > 0)
 			w->units[w->nr_units++] = (struct unit){
-				cost * (1.0 - w->need->stay_bonus), i,
+				cost * (1.0 - w->need->incumbent_discount), i,
 				w->zone_of[i]
 			};
-		if (now_ms >= o->blocked_until)
+		if (now_ms >= o->blocked_until_ms)
 			w->units[w->nr_units++] =
 				(struct unit){ cost, i, w->zone_of[i] };
 	}
@@ -289,7 +289,7 @@
 
 	for (i = 0; i < nr; i++) {
 		if (offers[i].have < offers[i].want &&
-		    now_ms >= offers[i].blocked_until)
+		    now_ms >= offers[i].blocked_until_ms)
 			return (struct plan_step){ PLAN_LAUNCH, i };
 	}
 	for (i = 0; i < nr; i++) {
@@ -303,16 +303,16 @@
 	return none;
 }
 
-void plan_refused(struct plan_offer *o, int64_t now_ms)
+void plan_launch_refused(struct plan_offer *o, int64_t now_ms)
 {
 	o->backoff_ms = o->backoff_ms ? 2 * o->backoff_ms : BACKOFF_MIN_MS;
 	if (o->backoff_ms > BACKOFF_MAX_MS)
 		o->backoff_ms = BACKOFF_MAX_MS;
-	o->blocked_until = now_ms + o->backoff_ms;
+	o->blocked_until_ms = now_ms + o->backoff_ms;
 }
 
-void plan_started(struct plan_offer *o)
+void plan_launch_succeeded(struct plan_offer *o)
 {
 	o->backoff_ms = 0;
-	o->blocked_until = 0;
+	o->blocked_until_ms = 0;
 }
--- a/lib/place/plan.h
+++ b/lib/place/plan.h
@@ -21,10 +21,10 @@
 	char class_name[PLAN_NAME_MAX];
 	bool reclaimable;
 	double price_per_h;
-	double capacity;       /* tokens per second of one replica */
-	double reclaims_per_h; /* expected, of one instance */
-	int64_t blocked_until; /* refused starts back off; ms */
-	int64_t backoff_ms;    /* of the last refusal */
+	double capacity;	  /* tokens per second of one replica */
+	double reclaims_per_h;	  /* expected, of one instance */
+	int64_t blocked_until_ms; /* refused starts back off; ms */
+	int64_t backoff_ms;	  /* of the last refusal */
 
 	int64_t have;  /* instances now, leaving ones not counted */
 	int64_t ready; /* of these, ready to serve */
@@ -37,8 +37,8 @@
 	int64_t max_replicas;
 	bool survive_zone_loss;
 	bool allow_reclaimable;
-	double recompute_cost; /* price of one reclaim, in price units */
-	double stay_bonus;     /* 0.15: a move must save 15% */
+	double recompute_cost;	   /* price of one reclaim, in price units */
+	double incumbent_discount; /* 0.15: a move must save 15% */
 };
 
 struct plan_result {
@@ -72,8 +72,8 @@
 			   int64_t now_ms);
 
 /* A start was refused: the offer backs off, doubling up to ten minutes. */
-void plan_refused(struct plan_offer *o, int64_t now_ms);
-void plan_started(struct plan_offer *o);
+void plan_launch_refused(struct plan_offer *o, int64_t now_ms);
+void plan_launch_succeeded(struct plan_offer *o);
 
 /* Capacity of `counts` (`have`, `ready` or `want`) with the worst zone lost. */
 enum plan_count {
--- a/lib/place/rescue.c
+++ b/lib/place/rescue.c
@@ -11,19 +11,19 @@
 
 static double saved_tokens(const struct rescue_stream *s)
 {
-	return (double)s->prompt_tokens + s->done_tokens;
+	return (double)s->prompt_tokens + s->generated_tokens;
 }
 
 static double move_ms(const struct rescue_notice *n,
 		      const struct rescue_stream *s)
 {
-	return n->move_fixed_ms + s->kv_mb / n->mb_per_s * 1000.0;
+	return n->move_fixed_ms + s->kv_mb / n->kv_mb_per_s * 1000.0;
 }
 
 static bool can_finish(const struct rescue_notice *n,
 		       const struct rescue_stream *s, int64_t usable_ms)
 {
-	return s->left_tokens * n->between_tokens_ms <= (double)usable_ms;
+	return s->max_remaining_tokens * n->inter_token_ms <= (double)usable_ms;
 }
 
 /* The densest first: tokens saved per millisecond of transfer, weighted. */
@@ -102,7 +102,7 @@
 			s[i].choice = RESCUE_FINISH;
 			continue;
 		}
-		if (n->mb_per_s <= 0 || usable <= 0)
+		if (n->kv_mb_per_s <= 0 || usable <= 0)
 			continue;
 		r[nr_rank].s = &s[i];
 		r[nr_rank++].density = saved_tokens(&s[i]) * s[i].weight /
--- a/lib/place/rescue.h
+++ b/lib/place/rescue.h
@@ -25,8 +25,8 @@
 struct rescue_stream {
 	uint64_t tag; /* the caller's own, returned untouched */
 	uint32_t prompt_tokens;
-	uint32_t done_tokens;
-	uint32_t left_tokens; /* at most; from max_tokens */
+	uint32_t generated_tokens;
+	uint32_t max_remaining_tokens; /* at most; from max_tokens */
 	double kv_mb;
 	int64_t deadline_ms;
 	double weight;		   /* of the account; interactive ones higher */
@@ -37,8 +37,8 @@
 struct rescue_notice {
 	int64_t now_ms;
 	int64_t end_ms; /* the instance is gone then */
-	double between_tokens_ms;
-	double mb_per_s;      /* this entry's part; 0: no KV transfer */
+	double inter_token_ms;
+	double kv_mb_per_s;   /* this entry's part; 0: no KV transfer */
 	double move_fixed_ms; /* per transfer: set-up and import */
 };
 
--- a/tests/support/sched_rest.c
+++ b/tests/support/sched_rest.c
@@ -232,7 +232,7 @@
 		u->owner = -1;
 	h->answer_ok = false;
 	if (rnd_below(&u->rnd, 6)) {
-		if (a == DUTY_TAKE && u->owner < 0) {
+		if (a == DUTY_ACQUIRE && u->owner < 0) {
 			u->owner = (int)i;
 			u->revision++;
 			h->lease_until = there + LEASE_MS;
@@ -242,7 +242,7 @@
 			h->answer_ok = true;
 		}
 	}
-	h->asking = a == DUTY_TAKE;
+	h->asking = a == DUTY_ACQUIRE;
 	h->renewing = a == DUTY_RENEW;
 	h->answer_at = there + rnd_below(&u->rnd, 600);
 }
@@ -253,9 +253,9 @@
 	const bool ok = h->answer_ok && rnd_below(&u->rnd, 8);
 
 	if (u->bug == BUG_LEASE_FROM_REPLY)
-		h->d.asked_ms = now + 900;
+		h->d.request_sent_ms = now + 900;
 	if (h->asking && ok) {
-		duty_taken(&h->d, u->revision, !u->ever, now);
+		duty_acquired(&h->d, u->revision, !u->ever, now);
 		u->ever = true;
 	} else if (h->asking) {
 		duty_refused(&h->d, now);
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -91,7 +91,7 @@
 				  .min_replicas = 1,
 				  .max_replicas = 20,
 				  .allow_reclaimable = true,
-				  .stay_bonus = 0.15 };
+				  .incumbent_discount = 0.15 };
 	struct plan_offer o[2] = {
 		{ .zone = "a", .capacity = 400, .price_per_h = 0.30 },
 		{ .zone = "b", .capacity = 400, .price_per_h = 0.31 }
@@ -128,15 +128,15 @@
 	plan_solve(&need, o, 2, 0);
 	s = plan_next(&need, o, 2, 0);
 	CU_ASSERT(s.kind == PLAN_LAUNCH && s.offer == 0);
-	plan_refused(&o[0], 0);
+	plan_launch_refused(&o[0], 0);
 	plan_solve(&need, o, 2, 1);
 	s = plan_next(&need, o, 2, 1);
 	/* The next offer at once, not the same one again. */
 	CU_ASSERT(s.kind == PLAN_LAUNCH && s.offer == 1);
-	plan_refused(&o[0], 0);
+	plan_launch_refused(&o[0], 0);
 	CU_ASSERT_EQUAL(o[0].backoff_ms, 10000);
-	plan_started(&o[0]);
-	CU_ASSERT_EQUAL(o[0].blocked_until, 0);
+	plan_launch_succeeded(&o[0]);
+	CU_ASSERT_EQUAL(o[0].blocked_until_ms, 0);
 }
 
 /* Nothing is retired while what is ready would not do without it. */
@@ -196,8 +196,8 @@
 			if (!(mask >> i & 1))
 				continue;
 			ms += n->move_fixed_ms +
-			      s[i].kv_mb / n->mb_per_s * 1000;
-			saved += s[i].prompt_tokens + s[i].done_tokens;
+			      s[i].kv_mb / n->kv_mb_per_s * 1000;
+			saved += s[i].prompt_tokens + s[i].generated_tokens;
 		}
 		if (ms <= room_ms && saved > best)
 			best = saved;
@@ -209,8 +209,8 @@
 {
 	const struct rescue_notice n = { .now_ms = 0,
 					 .end_ms = 2000,
-					 .between_tokens_ms = 36,
-					 .mb_per_s = 400,
+					 .inter_token_ms = 36,
+					 .kv_mb_per_s = 400,
 					 .move_fixed_ms = 30 };
 	double sum = 0, sum_exact = 0;
 	struct rnd rnd;
@@ -225,10 +225,11 @@
 		for (i = 0; i < 10; i++) {
 			s[i].tag = i;
 			s[i].prompt_tokens = 50 + rnd_below(&rnd, 3000);
-			s[i].done_tokens = rnd_below(&rnd, 500);
-			s[i].left_tokens = 100;
+			s[i].generated_tokens = rnd_below(&rnd, 500);
+			s[i].max_remaining_tokens = 100;
 			s[i].kv_mb =
-				(s[i].prompt_tokens + s[i].done_tokens) * 0.125;
+				(s[i].prompt_tokens + s[i].generated_tokens) *
+				0.125;
 			s[i].weight = 1;
 			s[i].deadline_ms = rnd_below(&rnd, 1000);
 		}
@@ -237,7 +238,7 @@
 		for (i = 0; i < 10; i++) {
 			if (s[i].choice != RESCUE_MOVE)
 				continue;
-			saved += s[i].prompt_tokens + s[i].done_tokens;
+			saved += s[i].prompt_tokens + s[i].generated_tokens;
 			ms += 30 + s[i].kv_mb / 400 * 1000;
 		}
 		CU_ASSERT(ms <= 1800.001);
@@ -254,11 +255,11 @@
 {
 	struct rescue_notice n = { .now_ms = 0,
 				   .end_ms = 2000,
-				   .between_tokens_ms = 20 };
+				   .inter_token_ms = 20 };
 	struct rescue_stream s[2] = {
-		{ .tag = 1, .left_tokens = 10, .prompt_tokens = 100 },
+		{ .tag = 1, .max_remaining_tokens = 10, .prompt_tokens = 100 },
 		{ .tag = 2,
-		  .left_tokens = 1000,
+		  .max_remaining_tokens = 1000,
 		  .prompt_tokens = 100,
 		  .kv_mb = 10,
 		  .weight = 1 },
@@ -270,7 +271,7 @@
 	/* No KV transfer there: continue elsewhere. */
 	CU_ASSERT_EQUAL(s[0].tag == 2 ? s[0].choice : s[1].choice,
 			RESCUE_CONTINUE);
-	n.mb_per_s = 400;
+	n.kv_mb_per_s = 400;
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].tag == 2 ? s[0].choice : s[1].choice, RESCUE_MOVE);
 	/* A notice for an instance already gone: nothing can be moved. */
@@ -292,8 +293,8 @@
 	struct duty d;
 
 	duty_init(&d, 4000);
-	CU_ASSERT_EQUAL(duty_tick(&d, 10000), DUTY_TAKE);
-	duty_taken(&d, 5, true, 13000);
+	CU_ASSERT_EQUAL(duty_tick(&d, 10000), DUTY_ACQUIRE);
+	duty_acquired(&d, 5, true, 13000);
 	CU_ASSERT(duty_may_act(&d, 13000));
 	CU_ASSERT(duty_may_act(&d, 13599));
 	CU_ASSERT(!duty_may_act(&d, 13600));
@@ -305,7 +306,7 @@
 
 	duty_init(&d, 4000);
 	duty_tick(&d, 10000);
-	duty_taken(&d, 6, false, 10010);
+	duty_acquired(&d, 6, false, 10010);
 	CU_ASSERT(duty_may_act(&d, 10010));
 	CU_ASSERT(!duty_may_act_unfenced(&d, 10010));
 	CU_ASSERT_EQUAL(duty_tick(&d, 11400), DUTY_RENEW);
@@ -322,7 +323,7 @@
 
 	duty_init(&d, 4000);
 	duty_tick(&d, 0);
-	duty_taken(&d, 6, true, 0);
+	duty_acquired(&d, 6, true, 0);
 	CU_ASSERT_EQUAL(duty_tick(&d, 1400), DUTY_RENEW);
 	duty_failed(&d, 2000);
 	/* Tried again while the lease may still stand, then given up. */
