--- a/lib/place/duty.c
+++ b/lib/place/duty.c
@@ -2,17 +2,20 @@
 
 #include <string.h>
 
-/* A tenth of the lease covers clock drift and the way of an order. */
-#define MARGIN_PART 10
+/*
+ * The safety margin is a tenth of the lease. It covers clock drift and the
+ * network delay of a command.
+ */
+#define LEASE_MARGIN_DIVISOR 10
 
-/* Renewals come at a third, so that two may fail. */
-#define RENEW_PART 3
+/* Renewing after a third of the lease leaves time for two failed attempts. */
+#define RENEW_DIVISOR 3
 
 void duty_init(struct duty *d, int64_t lease_ms)
 {
 	memset(d, 0, sizeof(*d));
 	d->lease_ms = lease_ms;
-	d->margin_ms = lease_ms / MARGIN_PART;
+	d->margin_ms = lease_ms / LEASE_MARGIN_DIVISOR;
 }
 
 static void go_idle(struct duty *d, int64_t now_ms)
@@ -20,24 +23,24 @@
 	d->state = DUTY_IDLE;
 	d->renewing = false;
 	d->fence = 0;
-	d->next_ms = now_ms + d->lease_ms / RENEW_PART;
+	d->next_ms = now_ms + d->lease_ms / RENEW_DIVISOR;
 }
 
-static bool holds(const struct duty *d)
+static bool is_holder(const struct duty *d)
 {
 	return d->state == DUTY_WAITING || d->state == DUTY_HELD;
 }
 
 enum duty_action duty_tick(struct duty *d, int64_t now_ms)
 {
-	if (holds(d) && now_ms >= d->valid_until_ms)
+	if (is_holder(d) && now_ms >= d->valid_until_ms)
 		go_idle(d, now_ms);
 	if (d->state == DUTY_WAITING && now_ms >= d->unfenced_from_ms)
 		d->state = DUTY_HELD;
 	if (d->state == DUTY_ACQUIRING || d->renewing || now_ms < d->next_ms)
 		return DUTY_NOTHING;
 	d->request_sent_ms = now_ms;
-	if (holds(d)) {
+	if (is_holder(d)) {
 		d->renewing = true;
 		return DUTY_RENEW;
 	}
@@ -48,7 +51,7 @@
 static void extend(struct duty *d)
 {
 	d->valid_until_ms = d->request_sent_ms + d->lease_ms - d->margin_ms;
-	d->next_ms = d->request_sent_ms + d->lease_ms / RENEW_PART;
+	d->next_ms = d->request_sent_ms + d->lease_ms / RENEW_DIVISOR;
 }
 
 void duty_acquired(struct duty *d, uint64_t fence, bool fresh, int64_t now_ms)
@@ -56,9 +59,9 @@
 	d->fence = fence;
 	extend(d);
 	/*
-	 * The former holder counts its lease from before its request, so it
-	 * stops before the service lets the key go; the wait covers orders
-	 * that it had on the way then.
+	 * The previous holder counts its lease from before its request, so it
+	 * stops before the service deletes the key. The wait covers commands
+	 * that were in flight at that time.
 	 */
 	d->unfenced_from_ms = fresh ? now_ms
 				    : now_ms + d->lease_ms + d->margin_ms;
@@ -73,7 +76,7 @@
 void duty_renewed(struct duty *d, int64_t now_ms)
 {
 	d->renewing = false;
-	if (!holds(d) || now_ms >= d->valid_until_ms) {
+	if (!is_holder(d) || now_ms >= d->valid_until_ms) {
 		go_idle(d, now_ms);
 		return;
 	}
@@ -82,7 +85,7 @@
 
 void duty_failed(struct duty *d, int64_t now_ms)
 {
-	if (!holds(d)) {
+	if (!is_holder(d)) {
 		go_idle(d, now_ms);
 		return;
 	}
@@ -97,11 +100,11 @@
 
 bool duty_may_act(const struct duty *d, int64_t now_ms)
 {
-	return holds(d) && now_ms < d->valid_until_ms;
+	return is_holder(d) && now_ms < d->valid_until_ms;
 }
 
 bool duty_may_act_unfenced(const struct duty *d, int64_t now_ms)
 {
-	return holds(d) && now_ms < d->valid_until_ms &&
+	return is_holder(d) && now_ms < d->valid_until_ms &&
 	       now_ms >= d->unfenced_from_ms;
 }
--- a/lib/place/plan.c
+++ b/lib/place/plan.c
@@ -6,6 +6,7 @@
 
 #include "base/buf.h"
 
+/* Backoff of an offer after refused launches; doubles from MIN to MAX. */
 #define BACKOFF_MIN_MS 5000
 #define BACKOFF_MAX_MS 600000
 
@@ -51,11 +52,11 @@
 	size_t zone;
 };
 
-struct work {
+struct solver {
 	const struct plan_need *need;
 	struct plan_offer *offers;
 	size_t nr;
-	struct unit *units; /* offers by cost, the discounted part apart */
+	struct unit *units; /* sorted by cost; see list_units */
 	size_t nr_units;
 	size_t zone_of[PLAN_MAX_OFFERS];
 	size_t nr_zones;
@@ -63,8 +64,8 @@
 	double zone_load[PLAN_MAX_OFFERS];
 };
 
-static bool open_offer(const struct plan_need *need, const struct plan_offer *o,
-		       int64_t now_ms)
+static bool is_offer_usable(const struct plan_need *need,
+			    const struct plan_offer *o, int64_t now_ms)
 {
 	if (o->reclaimable && !need->allow_reclaimable)
 		return false;
@@ -79,7 +80,7 @@
 	       o->capacity;
 }
 
-static int cheaper(const void *a, const void *b)
+static int compare_unit_cost(const void *a, const void *b)
 {
 	const struct unit *x = a, *y = b;
 
@@ -88,7 +89,7 @@
 	return x->offer < y->offer ? -1 : x->offer > y->offer;
 }
 
-static void number_zones(struct work *w)
+static void number_zones(struct solver *w)
 {
 	size_t i, j;
 
@@ -101,8 +102,11 @@
 	}
 }
 
-/* Each offer stands twice: what it has now, discounted, and what is new. */
-static void list_units(struct work *w, int64_t now_ms)
+/*
+ * Lists each usable offer up to twice: its current instances at the discounted
+ * cost, and new instances at the full cost.
+ */
+static void list_units(struct solver *w, int64_t now_ms)
 {
 	size_t i;
 
@@ -110,7 +114,7 @@
 		const struct plan_offer *o = &w->offers[i];
 		const double cost = unit_cost(w->need, o);
 
-		if (!open_offer(w->need, o, now_ms))
+		if (!is_offer_usable(w->need, o, now_ms))
 			continue;
 		if (o->have > 0)
 			w->units[w->nr_units++] = (struct unit){
@@ -121,21 +125,23 @@
 			w->units[w->nr_units++] =
 				(struct unit){ cost, i, w->zone_of[i] };
 	}
-	qsort(w->units, w->nr_units, sizeof(*w->units), cheaper);
+	qsort(w->units, w->nr_units, sizeof(*w->units), compare_unit_cost);
 }
 
-static bool is_stay(const struct work *w, const struct unit *u)
+static bool is_running_unit(const struct solver *w, const struct unit *u)
 {
 	return u->cost < unit_cost(w->need, &w->offers[u->offer]) - 1e-12;
 }
 
 /*
- * Fills the cheapest units first until `target` capacity stands, with no zone
- * above `zone_max`. Exact when all classes have one capacity, since then the
- * greedy choice under zone bounds is a matroid; else within one instance per
- * zone of the best. Returns the cost, or infinity if it cannot be reached.
+ * Adds instances to `trial`, cheapest unit first, until `target` capacity and
+ * `min_replicas` are reached, with no zone above `zone_max` capacity. The
+ * result is optimal when all classes have the same capacity, since greedy
+ * selection under per-zone bounds is then a matroid problem; otherwise it is
+ * within one instance per zone of the optimum. Returns the cost, or INFINITY if
+ * the target cannot be reached.
  */
-static double fill(struct work *w, double target, double zone_max)
+static double fill(struct solver *w, double target, double zone_max)
 {
 	double sum = 0, cost = 0;
 	int64_t replicas = 0;
@@ -146,14 +152,14 @@
 	for (i = 0; i < w->nr_units; i++) {
 		const struct unit *u = &w->units[i];
 		const struct plan_offer *o = &w->offers[u->offer];
-		const bool stay = is_stay(w, u);
+		const bool running = is_running_unit(w, u);
 
 		while (sum < target - 1e-9 ||
 		       replicas < w->need->min_replicas) {
 			if (w->zone_load[u->zone] + o->capacity >
 			    zone_max + 1e-9)
 				break;
-			if (stay && w->trial[u->offer] >= o->have)
+			if (running && w->trial[u->offer] >= o->have)
 				break;
 			if (replicas >= w->need->max_replicas)
 				return INFINITY;
@@ -169,7 +175,7 @@
 	return cost;
 }
 
-static void keep_trial(struct work *w)
+static void save_trial(struct solver *w)
 {
 	size_t i;
 
@@ -177,7 +183,7 @@
 		w->offers[i].want = w->trial[i];
 }
 
-static double largest_capacity(const struct work *w)
+static double largest_capacity(const struct solver *w)
 {
 	double c = 0;
 	size_t i;
@@ -188,10 +194,11 @@
 }
 
 /*
- * With a zone bound m the loss of a zone costs at most m, so demand + m must
- * stand. Every bound that a zone can really reach is tried.
+ * If no zone exceeds capacity m, losing a zone loses at most m, so a total of
+ * demand + m suffices. Tries each m from one instance's capacity to the demand
+ * plus two instances, in steps of the largest capacity.
  */
-static bool solve_with_loss(struct work *w, double demand)
+static bool solve_with_loss(struct solver *w, double demand)
 {
 	const double step = largest_capacity(w);
 	double best = INFINITY, m;
@@ -203,14 +210,17 @@
 
 		if (cost < best) {
 			best = cost;
-			keep_trial(w);
+			save_trial(w);
 		}
 	}
 	return isfinite(best);
 }
 
-/* As much as can be had when the need cannot be met: never nothing. */
-static void solve_best_effort(struct work *w, double demand)
+/*
+ * Plans as much capacity as is available when the need cannot be met, so that
+ * an infeasible need doesn't result in an empty plan.
+ */
+static void solve_best_effort(struct solver *w, double demand)
 {
 	const struct plan_need relaxed = {
 		.demand = demand,
@@ -218,14 +228,14 @@
 		.max_replicas = w->need->max_replicas,
 		.allow_reclaimable = w->need->allow_reclaimable,
 	};
-	const struct plan_need *const strict = w->need;
+	const struct plan_need *const original = w->need;
 	double target = demand;
 
 	w->need = &relaxed;
 	while (target > 0 && !isfinite(fill(w, target, INFINITY)))
 		target -= largest_capacity(w);
-	keep_trial(w);
-	w->need = strict;
+	save_trial(w);
+	w->need = original;
 }
 
 struct plan_result plan_solve(const struct plan_need *need,
@@ -233,7 +243,7 @@
 			      int64_t now_ms)
 {
 	struct plan_result r = { 0 };
-	struct work *w = mem_new(sizeof(*w));
+	struct solver *w = mem_new(sizeof(*w));
 	size_t i;
 
 	w->need = need;
@@ -248,7 +258,7 @@
 		r.feasible = solve_with_loss(w, need->demand);
 	else if (isfinite(fill(w, need->demand, INFINITY))) {
 		r.feasible = true;
-		keep_trial(w);
+		save_trial(w);
 	}
 	if (!r.feasible)
 		solve_best_effort(w, need->demand);
@@ -263,7 +273,7 @@
 
 /* ---- Steps ---- */
 
-static bool may_retire(const struct plan_need *need,
+static bool can_retire(const struct plan_need *need,
 		       const struct plan_offer *offers, size_t nr, size_t i)
 {
 	MEM_AUTO struct plan_offer *copy = mem_new(nr * sizeof(*copy));
@@ -295,9 +305,9 @@
 	for (i = 0; i < nr; i++) {
 		if (offers[i].have <= offers[i].want)
 			continue;
-		/* One that is not ready yet serves nobody. */
+		/* An instance that is not ready yet serves no requests. */
 		if (offers[i].ready < offers[i].have ||
-		    may_retire(need, offers, nr, i))
+		    can_retire(need, offers, nr, i))
 			return (struct plan_step){ PLAN_RETIRE, i };
 	}
 	return none;
--- a/lib/place/rescue.c
+++ b/lib/place/rescue.c
@@ -3,13 +3,13 @@
 #include <stdlib.h>
 
 /*
- * Part of the notice that is not planned for: the notice itself was late by
- * the time it was heard, and the last transfer must end before the end.
+ * Share of the notice time that is left unplanned, and its minimum: the notice
+ * arrives with a delay, and the last transfer must finish before the reclaim.
  */
-#define MARGIN_PART 0.1
+#define MARGIN_FRACTION 0.1
 #define MARGIN_MIN_MS 150
 
-static double saved_tokens(const struct rescue_stream *s)
+static double cached_tokens(const struct rescue_stream *s)
 {
 	return (double)s->prompt_tokens + s->generated_tokens;
 }
@@ -26,20 +26,20 @@
 	return s->max_remaining_tokens * n->inter_token_ms <= (double)usable_ms;
 }
 
-/* The densest first: tokens saved per millisecond of transfer, weighted. */
-struct rank {
-	double density;
+/* A candidate for a move. */
+struct candidate {
+	double density; /* weighted tokens saved per ms of transfer */
 	struct rescue_stream *s;
 };
 
-static int denser(const void *a, const void *b)
+static int compare_density(const void *a, const void *b)
 {
-	const struct rank *x = a, *y = b;
+	const struct candidate *x = a, *y = b;
 
 	return x->density > y->density ? -1 : x->density < y->density;
 }
 
-static int sooner(const void *a, const void *b)
+static int compare_deadline(const void *a, const void *b)
 {
 	const struct rescue_stream *x = a, *y = b;
 
@@ -48,31 +48,34 @@
 		       : x->deadline_ms > y->deadline_ms;
 }
 
-/* Greedy by density; a later, smaller one may still fill what is left. */
-static void choose_moves(const struct rescue_notice *n, struct rank *r,
-			 size_t nr, double room_ms)
+/*
+ * Greedy knapsack by density. A stream that doesn't fit is skipped; a later,
+ * smaller one may still use the remaining time.
+ */
+static void choose_moves(const struct rescue_notice *n, struct candidate *r,
+			 size_t nr, double available_ms)
 {
 	size_t i;
 
-	qsort(r, nr, sizeof(*r), denser);
+	qsort(r, nr, sizeof(*r), compare_density);
 	for (i = 0; i < nr; i++) {
 		const double ms = move_ms(n, r[i].s);
 
-		if (ms > room_ms)
+		if (ms > available_ms)
 			continue;
-		room_ms -= ms;
+		available_ms -= ms;
 		r[i].s->choice = RESCUE_MOVE;
 	}
 }
 
-/* Moves run one after another, those with the nearest deadline first. */
+/* Schedules the moves one after another, earliest deadline first. */
 static void schedule_moves(const struct rescue_notice *n,
 			   struct rescue_stream *s, size_t nr)
 {
 	double at = (double)n->now_ms;
 	size_t i;
 
-	qsort(s, nr, sizeof(*s), sooner);
+	qsort(s, nr, sizeof(*s), compare_deadline);
 	for (i = 0; i < nr; i++) {
 		s[i].start_ms = n->now_ms;
 		if (s[i].choice != RESCUE_MOVE)
@@ -86,10 +89,10 @@
 		 size_t nr)
 {
 	const int64_t left = n->end_ms - n->now_ms;
-	int64_t margin = (int64_t)((double)left * MARGIN_PART);
+	int64_t margin = (int64_t)((double)left * MARGIN_FRACTION);
 	int64_t usable;
-	struct rank *r = malloc((nr ? nr : 1) * sizeof(*r));
-	size_t nr_rank = 0, i;
+	struct candidate *r = malloc((nr ? nr : 1) * sizeof(*r));
+	size_t nr_candidates = 0, i;
 
 	if (!r)
 		abort();
@@ -104,11 +107,12 @@
 		}
 		if (n->kv_mb_per_s <= 0 || usable <= 0)
 			continue;
-		r[nr_rank].s = &s[i];
-		r[nr_rank++].density = saved_tokens(&s[i]) * s[i].weight /
-				       (move_ms(n, &s[i]) + 1e-6);
+		r[nr_candidates].s = &s[i];
+		r[nr_candidates++].density = cached_tokens(&s[i]) *
+					     s[i].weight /
+					     (move_ms(n, &s[i]) + 1e-6);
 	}
-	choose_moves(n, r, nr_rank, (double)usable);
+	choose_moves(n, r, nr_candidates, (double)usable);
 	free(r);
 	schedule_moves(n, s, nr);
 }
@@ -120,7 +124,7 @@
 
 	for (i = 0; i < nr; i++) {
 		if (s[i].choice == RESCUE_CONTINUE)
-			sum += saved_tokens(&s[i]);
+			sum += cached_tokens(&s[i]);
 	}
 	return sum;
 }
