--- a/lib/place/plan.c
+++ b/lib/place/plan.c
@@ -195,7 +195,7 @@
 
 /*
  * If no zone exceeds capacity m, losing a zone loses at most m, so a total of
- * demand + m suffices. Tries each m from one instance's capacity to the demand
+ * demand + m suffices. Tries every bound that a zone can reach, from one instance's capacity to the demand
  * plus two instances, in steps of the largest capacity.
  */
 static bool solve_with_loss(struct solver *w, double demand)
--- a/lib/place/plan.h
+++ b/lib/place/plan.h
@@ -1,10 +1,12 @@
 /*
- * plan: how many instances of which offer a model should have. Pure.
+ * plan: the prefix is the word itself. Decides how many instances of each
+ * offer a model should have. No I/O.
  *
- * An offer is (zone, class, market) at a price. The plan is the cheapest mix
- * whose capacity covers the demand even after the loss of any one zone.
- * Offers in use count as a little cheaper than they are, so that a price must
- * move enough to pay for a move; otherwise prices would make the plan flap.
+ * An offer is a (zone, class, market) combination at a price. The plan is the
+ * cheapest mix whose capacity covers the demand, if survive_zone_loss is set
+ * even after the loss of any one zone. Offers in use count as slightly cheaper
+ * than they are, so that a change of price causes a move only if it pays for
+ * the move; otherwise price changes would make the plan flap.
  */
 #ifndef PLAN_H
 #define PLAN_H
@@ -13,20 +15,21 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define PLAN_MAX_OFFERS 128
-#define PLAN_NAME_MAX 48
+#define PLAN_MAX_OFFERS 128 /* offers per model; plan_solve ignores the rest */
+#define PLAN_NAME_MAX 48    /* bytes of a name, with the terminating NUL */
 
+/* One offer, its launch backoff and its instance counts. */
 struct plan_offer {
 	char zone[PLAN_NAME_MAX];
 	char class_name[PLAN_NAME_MAX];
-	bool reclaimable;
+	bool reclaimable; /* spot market; else on-demand */
 	double price_per_h;
 	double capacity;	  /* tokens per second of one replica */
 	double reclaims_per_h;	  /* expected, of one instance */
-	int64_t blocked_until_ms; /* refused starts back off; ms */
-	int64_t backoff_ms;	  /* of the last refusal */
+	int64_t blocked_until_ms; /* no launches before this time */
+	int64_t backoff_ms;	  /* after the last refused launch; 0: none */
 
-	int64_t have;  /* instances now, leaving ones not counted */
+	int64_t have;  /* current instances, without draining ones */
 	int64_t ready; /* of these, ready to serve */
 	int64_t want;  /* set by plan_solve */
 };
@@ -35,19 +38,24 @@
 	double demand; /* tokens per second at the latency target */
 	int64_t min_replicas;
 	int64_t max_replicas;
-	bool survive_zone_loss;
+	bool survive_zone_loss; /* cover the demand with any one zone lost */
 	bool allow_reclaimable;
-	double recompute_cost;	   /* price of one reclaim, in price units */
-	double incumbent_discount; /* 0.15: a move must save 15% */
+	double recompute_cost;	   /* of one reclaim, in units of the price */
+	double incumbent_discount; /* fraction; 0.15: a move must save 15% */
 };
 
 struct plan_result {
-	bool feasible;	 /* demand is covered with a zone lost */
-	double price;	 /* per hour of what is wanted */
-	double capacity; /* of what is wanted, worst zone lost */
+	bool feasible;	 /* `want` covers the need */
+	double price;	 /* of all wanted instances, per hour */
+	double capacity; /* tokens per second of all wanted instances; with
+			    survive_zone_loss, without the largest zone */
 };
 
-/* Fills `want` of each offer. */
+/*
+ * Computes the cheapest plan and sets `want` of each of the `nr` offers. If the
+ * need cannot be met, plans as much capacity as is available and returns
+ * `feasible` as false.
+ */
 struct plan_result plan_solve(const struct plan_need *need,
 			      struct plan_offer *offers, size_t nr,
 			      int64_t now_ms);
@@ -60,27 +68,38 @@
 
 struct plan_step {
 	enum plan_step_kind kind;
-	size_t offer;
+	size_t offer; /* index of the offer */
 };
 
 /*
- * The next single step towards `want`: launches first; one instance is
- * retired only if what is ready without it still covers the need.
+ * Returns the next single step from `have` towards `want`. Launches come first.
+ * A ready instance is retired only if the ready instances without it still
+ * cover the need.
  */
 struct plan_step plan_next(const struct plan_need *need,
 			   const struct plan_offer *offers, size_t nr,
 			   int64_t now_ms);
 
-/* A start was refused: the offer backs off, doubling up to ten minutes. */
+/*
+ * Records a refused launch: blocks launches of the offer for 5 s, doubled on
+ * each further refusal up to 10 minutes.
+ */
 void plan_launch_refused(struct plan_offer *o, int64_t now_ms);
+
+/* Records a successful launch: clears the backoff. */
 void plan_launch_succeeded(struct plan_offer *o);
 
-/* Capacity of `counts` (`have`, `ready` or `want`) with the worst zone lost. */
+/* The instance count that plan_capacity sums up. */
 enum plan_count {
 	PLAN_HAVE,
 	PLAN_READY,
 	PLAN_WANT
 };
+
+/*
+ * Returns the capacity in tokens per second of the instances counted by
+ * `which`; if `lose_zone`, without the zone that has the most capacity.
+ */
 double plan_capacity(const struct plan_offer *offers, size_t nr,
 		     enum plan_count which, bool lose_zone);
 
--- a/lib/place/rescue.h
+++ b/lib/place/rescue.h
@@ -1,13 +1,14 @@
 /*
- * rescue: what becomes of each stream at an endpoint under reclaim notice.
- * Pure.
+ * rescue: the prefix is the word itself. Decides how each stream at an
+ * endpoint under reclaim notice goes on. No I/O.
  *
- * The choice is made for all of this entry's streams at the endpoint at once:
- * let it finish in place, move its KV cache, or continue elsewhere from the
- * prompt and the tokens so far. Moving is a knapsack: the notice time and the
- * transfer bandwidth bound what can go; the value is the tokens that need not
- * be computed again. Several entries share one endpoint's bandwidth in
- * proportion to their streams, which the endpoint's report tells.
+ * All streams that this entry has at the endpoint are decided together: each
+ * finishes in place, moves with its KV cache, or continues elsewhere from the
+ * prompt and the tokens generated so far. Choosing the moves is a knapsack
+ * problem: the notice time and the transfer bandwidth limit what can be moved,
+ * and the value of a move is the tokens that need not be recomputed. Entries
+ * share an endpoint's bandwidth in proportion to their streams, as the
+ * endpoint's report counts them.
  */
 #ifndef RESCUE_H
 #define RESCUE_H
@@ -17,36 +18,37 @@
 #include <stdint.h>
 
 enum rescue_choice {
-	RESCUE_FINISH,
-	RESCUE_MOVE,
-	RESCUE_CONTINUE
+	RESCUE_FINISH,	/* finish in place before the reclaim */
+	RESCUE_MOVE,	/* transfer the KV cache to another endpoint */
+	RESCUE_CONTINUE /* recompute at another endpoint */
 };
 
 struct rescue_stream {
-	uint64_t tag; /* the caller's own, returned untouched */
+	uint64_t tag; /* for the caller; not read or changed */
 	uint32_t prompt_tokens;
 	uint32_t generated_tokens;
-	uint32_t max_remaining_tokens; /* at most; from max_tokens */
-	double kv_mb;
+	uint32_t max_remaining_tokens; /* upper bound, from max_tokens */
+	double kv_mb;		       /* size of the KV cache */
 	int64_t deadline_ms;
 	double weight;		   /* of the account; interactive ones higher */
 	enum rescue_choice choice; /* set by rescue_plan */
-	int64_t start_ms;	   /* set for moves: when to begin */
+	int64_t start_ms;	   /* start of the move; set by rescue_plan */
 };
 
 struct rescue_notice {
 	int64_t now_ms;
-	int64_t end_ms; /* the instance is gone then */
-	double inter_token_ms;
-	double kv_mb_per_s;   /* this entry's part; 0: no KV transfer */
-	double move_fixed_ms; /* per transfer: set-up and import */
+	int64_t end_ms;	       /* time of the reclaim */
+	double inter_token_ms; /* time between two tokens of a stream */
+	double kv_mb_per_s;    /* this entry's share; 0: no KV transfer */
+	double move_fixed_ms;  /* per transfer: set-up and import */
 };
 
-/* Fills `choice` and `start_ms`; may reorder the array. */
+/* Sets `choice` and `start_ms` of each of the `nr` streams. May reorder the
+ * array. Aborts if out of memory. */
 void rescue_plan(const struct rescue_notice *n, struct rescue_stream *s,
 		 size_t nr);
 
-/* Tokens that the plan will have computed again. */
+/* Returns the number of tokens that the plan recomputes. */
 double rescue_recomputed(const struct rescue_stream *s, size_t nr);
 
 #endif
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -1,4 +1,4 @@
-/* Placement against brute force, rescue against an exact knapsack, duties. */
+/* Tests plan against brute force, rescue against an exact knapsack, and duty. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -29,7 +29,7 @@
 	}
 }
 
-/* The naive twin tries every mix. */
+/* Reference solver: returns the lowest price over all mixes. */
 static double brute_force(struct plan_offer *o, const struct plan_need *need)
 {
 	double best = INFINITY;
@@ -51,7 +51,7 @@
 	return best;
 }
 
-static void plan_like_brute_force(void)
+static void plan_matches_brute_force(void)
 {
 	struct rnd rnd;
 	unsigned round;
@@ -80,10 +80,9 @@
 }
 
 /*
- * Symptom: instances are started and stopped with every tick of the prices.
- * Events: two zones' prices pass each other by a few per cent, again and
- * again.
- * Cause: each tick has another cheapest zone; a move must pay for itself.
+ * Instances must not be launched and retired on every price change. When the
+ * prices of two zones repeatedly cross by a few per cent, each change makes
+ * another zone the cheapest; a move must pay for itself.
  */
 static void prices_do_not_flap(void)
 {
@@ -131,7 +130,7 @@
 	plan_launch_refused(&o[0], 0);
 	plan_solve(&need, o, 2, 1);
 	s = plan_next(&need, o, 2, 1);
-	/* The next offer at once, not the same one again. */
+	/* The next offer is tried at once, not the refused one again. */
 	CU_ASSERT(s.kind == PLAN_LAUNCH && s.offer == 1);
 	plan_launch_refused(&o[0], 0);
 	CU_ASSERT_EQUAL(o[0].backoff_ms, 10000);
@@ -139,8 +138,8 @@
 	CU_ASSERT_EQUAL(o[0].blocked_until_ms, 0);
 }
 
-/* Nothing is retired while what is ready would not do without it. */
-static void retire_only_what_is_spare(void)
+/* An instance is retired only if the remaining ready ones cover the need. */
+static void retire_only_spare_instances(void)
 {
 	const struct plan_need need = { .demand = 400,
 					.min_replicas = 1,
@@ -162,7 +161,7 @@
 	CU_ASSERT_EQUAL(plan_next(&need, o, 2, 0).kind, PLAN_RETIRE);
 }
 
-static void best_effort(void)
+static void best_effort_when_infeasible(void)
 {
 	struct plan_need need = { .demand = 4000,
 				  .min_replicas = 1,
@@ -180,10 +179,10 @@
 
 /* ---- Rescue ---- */
 
-/* The naive twin tries every subset of moves: tokens saved at best. */
+/* Reference solver: returns the most tokens saved over all subsets of moves. */
 static double exact_saved(const struct rescue_notice *n,
 			  const struct rescue_stream *s, size_t nr,
-			  double room_ms)
+			  double available_ms)
 {
 	double best = 0;
 	unsigned mask;
@@ -199,7 +198,7 @@
 			      s[i].kv_mb / n->kv_mb_per_s * 1000;
 			saved += s[i].prompt_tokens + s[i].generated_tokens;
 		}
-		if (ms <= room_ms && saved > best)
+		if (ms <= available_ms && saved > best)
 			best = saved;
 	}
 	return best;
@@ -243,7 +242,8 @@
 		}
 		CU_ASSERT(ms <= 1800.001);
 		exact = exact_saved(&n, copy, 10, 1800);
-		/* Greedy by density is never under half; here the worst. */
+		/* Greedy by density saves at least half of the optimum in
+		 * every case; 0.7 is the bound for the worst case here. */
 		CU_ASSERT(saved >= exact * 0.7);
 		sum += saved;
 		sum_exact += exact;
@@ -268,13 +268,13 @@
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].tag == 1 ? s[0].choice : s[1].choice,
 			RESCUE_FINISH);
-	/* No KV transfer there: continue elsewhere. */
+	/* Without KV transfer the stream continues elsewhere. */
 	CU_ASSERT_EQUAL(s[0].tag == 2 ? s[0].choice : s[1].choice,
 			RESCUE_CONTINUE);
 	n.kv_mb_per_s = 400;
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].tag == 2 ? s[0].choice : s[1].choice, RESCUE_MOVE);
-	/* A notice for an instance already gone: nothing can be moved. */
+	/* The instance is already gone: nothing can be moved. */
 	n.end_ms = 0;
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].choice, RESCUE_CONTINUE);
@@ -284,9 +284,9 @@
 /* ---- Duties ---- */
 
 /*
- * Symptom: two planners give orders at once.
- * Events: the answer to a renewal takes 3 of the lease's 4 seconds.
- * Cause: counted from the answer, the holder would go on for 3 s too long.
+ * Two planners must not send commands at the same time. If the response to a
+ * lease request takes 3 s of a 4 s lease and the lease were counted from the
+ * response, the holder would act for 3 s after the lease had expired.
  */
 static void lease_counts_from_the_request(void)
 {
@@ -300,7 +300,7 @@
 	CU_ASSERT(!duty_may_act(&d, 13600));
 }
 
-static void unfenced_waits_out(void)
+static void unfenced_commands_wait_for_old_lease(void)
 {
 	struct duty d;
 
@@ -317,7 +317,7 @@
 	CU_ASSERT(duty_may_act_unfenced(&d, 14410));
 }
 
-static void failed_renewals(void)
+static void failed_renewals_are_retried(void)
 {
 	struct duty d;
 
@@ -326,7 +326,7 @@
 	duty_acquired(&d, 6, true, 0);
 	CU_ASSERT_EQUAL(duty_tick(&d, 1400), DUTY_RENEW);
 	duty_failed(&d, 2000);
-	/* Tried again while the lease may still stand, then given up. */
+	/* Retried while the lease may still be valid, then given up. */
 	CU_ASSERT_EQUAL(duty_tick(&d, 2400), DUTY_RENEW);
 	duty_failed(&d, 3000);
 	duty_tick(&d, 3600);
@@ -337,16 +337,17 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "plan like brute force", plan_like_brute_force },
+	{ "plan matches brute force", plan_matches_brute_force },
 	{ "prices do not flap", prices_do_not_flap },
 	{ "refused starts back off", refused_starts_back_off },
-	{ "retire only what is spare", retire_only_what_is_spare },
-	{ "best effort when it cannot be met", best_effort },
+	{ "retire only spare instances", retire_only_spare_instances },
+	{ "best effort when infeasible", best_effort_when_infeasible },
 	{ "rescue near the exact knapsack", rescue_near_exact },
 	{ "rescue choices", rescue_choices },
 	{ "a lease counts from the request", lease_counts_from_the_request },
-	{ "unfenced endpoints wait out", unfenced_waits_out },
-	{ "failed renewals", failed_renewals },
+	{ "unfenced commands wait for the old lease",
+	  unfenced_commands_wait_for_old_lease },
+	{ "failed renewals are retried", failed_renewals_are_retried },
 };
 
 UNIT_MAIN("place", tests)
