--- a/lib/place/plan.c
+++ b/lib/place/plan.c
@@ -6,7 +6,7 @@
 
 #include "base/buf.h"
 
-/* Backoff of an offer after refused launches; doubles from MIN to MAX. */
+/* Launch backoff of an offer: doubles from MIN to MAX on each refusal. */
 #define BACKOFF_MIN_MS 5000
 #define BACKOFF_MAX_MS 600000
 
@@ -46,10 +46,11 @@
 
 /* ---- Solving ---- */
 
+/* A source of instances for the solver: one offer at one cost. */
 struct unit {
-	double cost; /* per unit of capacity */
-	size_t offer;
-	size_t zone;
+	double cost; /* per hour and token per second, with expected reclaims */
+	size_t offer; /* index of the offer */
+	size_t zone;  /* zone number */
 };
 
 struct solver {
@@ -58,12 +59,13 @@
 	size_t nr;
 	struct unit *units; /* sorted by cost; see list_units */
 	size_t nr_units;
-	size_t zone_of[PLAN_MAX_OFFERS];
+	size_t zone_of[PLAN_MAX_OFFERS]; /* zone number of each offer */
 	size_t nr_zones;
-	int64_t trial[PLAN_MAX_OFFERS];
-	double zone_load[PLAN_MAX_OFFERS];
+	int64_t trial[PLAN_MAX_OFFERS];	   /* instances of each offer */
+	double zone_load[PLAN_MAX_OFFERS]; /* capacity in each zone */
 };
 
+/* An offer is usable if it has instances or may launch new ones. */
 static bool is_offer_usable(const struct plan_need *need,
 			    const struct plan_offer *o, int64_t now_ms)
 {
@@ -195,8 +197,8 @@
 
 /*
  * If no zone exceeds capacity m, losing a zone loses at most m, so a total of
- * demand + m suffices. Tries every bound that a zone can reach, from one instance's capacity to the demand
- * plus two instances, in steps of the largest capacity.
+ * demand + m suffices. Tries every m that a zone can reach, in steps of the
+ * largest instance capacity, and keeps the cheapest result.
  */
 static bool solve_with_loss(struct solver *w, double demand)
 {
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -1,4 +1,4 @@
-/* Tests plan against brute force, rescue against an exact knapsack, and duty. */
+/* Tests plan against brute force, rescue against an exact knapsack, duty. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
