--- a/lib/place/plan.h
+++ b/lib/place/plan.h
@@ -53,8 +53,8 @@
 
 /*
  * Computes the cheapest plan and sets `want` of each of the `nr` offers. If the
- * need cannot be met, plans as much capacity as is available and returns
- * `feasible` as false.
+ * need cannot be met, returns `feasible` as false and plans as much of the
+ * demand as can be had, ignoring min_replicas and survive_zone_loss.
  */
 struct plan_result plan_solve(const struct plan_need *need,
 			      struct plan_offer *offers, size_t nr,
--- a/lib/place/rescue.h
+++ b/lib/place/rescue.h
@@ -29,8 +29,8 @@
 	uint32_t generated_tokens;
 	uint32_t max_remaining_tokens; /* upper bound, from max_tokens */
 	double kv_mb;		       /* size of the KV cache */
-	int64_t deadline_ms;
-	double weight;		   /* of the account; interactive ones higher */
+	int64_t deadline_ms;	       /* earlier ones move first */
+	double weight;		   /* of the account; higher if interactive */
 	enum rescue_choice choice; /* set by rescue_plan */
 	int64_t start_ms;	   /* start of the move; set by rescue_plan */
 };
