--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -170,8 +170,8 @@
 			return;
 		}
 	}
-	duty_taken(&d->duty, (uint64_t)current.rows[0].create_rev, never_held,
-		   ctl_now(c));
+	duty_acquired(&d->duty, (uint64_t)current.rows[0].create_rev,
+		      never_held, ctl_now(c));
 	log_line(LOG_LEVEL_INFO, "duty", "duty=%s taken fence=%lld", d->key,
 		 (long long)current.rows[0].create_rev);
 }
@@ -195,7 +195,7 @@
 void ctl_duty_step(struct control *c, struct ctl_duty *d)
 {
 	switch (duty_tick(&d->duty, ctl_now(c))) {
-	case DUTY_TAKE:
+	case DUTY_ACQUIRE:
 		acquire_lease(c, d);
 		break;
 	case DUTY_RENEW:
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -229,11 +229,11 @@
 		p->token_offer = (size_t)(o - p->offers[m]);
 	}
 	if (!c->cloud->vt->start(c->cloud, p->start_token, &want, &e)) {
-		plan_started(o);
+		plan_launch_succeeded(o);
 		p->start_token[0] = '\0';
 		log_plan(p, model, o, "start", "below-plan");
 	} else if (e.code == ERR_FULL) {
-		plan_refused(o, ctl_now(c));
+		plan_launch_refused(o, ctl_now(c));
 		p->start_token[0] = '\0';
 		log_plan(p, model, o, "start", "refused");
 	} else {
@@ -280,7 +280,7 @@
 		.survive_zone_loss = d->survive_zone_loss,
 		.allow_reclaimable = d->allow_reclaimable,
 		.recompute_cost = 0.01 * d->recompute_weight,
-		.stay_bonus = STAY_BONUS,
+		.incumbent_discount = STAY_BONUS,
 	};
 	struct plan_offer *offers = p->offers[m];
 	struct plan_step step;
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -1,4 +1,4 @@
-/* Placement against brute force, rescue against an exact knapsack, duties. */
+/* Tests plan against brute force, rescue against an exact knapsack, duty. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -29,7 +29,7 @@
 	}
 }
 
-/* The naive twin tries every mix. */
+/* Reference solver: returns the lowest price over all mixes. */
 static double brute_force(struct plan_offer *o, const struct plan_need *need)
 {
 	double best = INFINITY;
@@ -51,7 +51,7 @@
 	return best;
 }
 
-static void plan_like_brute_force(void)
+static void plan_matches_brute_force(void)
 {
 	struct rnd rnd;
 	unsigned round;
@@ -80,10 +80,9 @@
 }
 
 /*
- * Symptom: instances are started and stopped with every tick of the prices.
- * Events: two zones' prices pass each other by a few per cent, again and
- * again.
- * Cause: each tick has another cheapest zone; a move must pay for itself.
+ * Instances must not be launched and retired on every price change. When the
+ * prices of two zones repeatedly cross by a few per cent, each change makes
+ * another zone the cheapest; a move must pay for itself.
  */
 static void prices_do_not_flap(void)
 {
@@ -91,7 +90,7 @@
 				  .min_replicas = 1,
 				  .max_replicas = 20,
 				  .allow_reclaimable = true,
-				  .stay_bonus = 0.15 };
+				  .incumbent_discount = 0.15 };
 	struct plan_offer o[2] = {
 		{ .zone = "a", .capacity = 400, .price_per_h = 0.30 },
 		{ .zone = "b", .capacity = 400, .price_per_h = 0.31 }
@@ -128,19 +127,19 @@
 	plan_solve(&need, o, 2, 0);
 	s = plan_next(&need, o, 2, 0);
 	CU_ASSERT(s.kind == PLAN_LAUNCH && s.offer == 0);
-	plan_refused(&o[0], 0);
+	plan_launch_refused(&o[0], 0);
 	plan_solve(&need, o, 2, 1);
 	s = plan_next(&need, o, 2, 1);
-	/* The next offer at once, not the same one again. */
+	/* The next offer is tried at once, not the refused one again. */
 	CU_ASSERT(s.kind == PLAN_LAUNCH && s.offer == 1);
-	plan_refused(&o[0], 0);
+	plan_launch_refused(&o[0], 0);
 	CU_ASSERT_EQUAL(o[0].backoff_ms, 10000);
-	plan_started(&o[0]);
-	CU_ASSERT_EQUAL(o[0].blocked_until, 0);
+	plan_launch_succeeded(&o[0]);
+	CU_ASSERT_EQUAL(o[0].blocked_until_ms, 0);
 }
 
-/* Nothing is retired while what is ready would not do without it. */
-static void retire_only_what_is_spare(void)
+/* An instance is retired only if the remaining ready ones cover the need. */
+static void retire_only_spare_instances(void)
 {
 	const struct plan_need need = { .demand = 400,
 					.min_replicas = 1,
@@ -162,7 +161,7 @@
 	CU_ASSERT_EQUAL(plan_next(&need, o, 2, 0).kind, PLAN_RETIRE);
 }
 
-static void best_effort(void)
+static void best_effort_when_infeasible(void)
 {
 	struct plan_need need = { .demand = 4000,
 				  .min_replicas = 1,
@@ -180,10 +179,10 @@
 
 /* ---- Rescue ---- */
 
-/* The naive twin tries every subset of moves: tokens saved at best. */
+/* Reference solver: returns the most tokens saved over all subsets of moves. */
 static double exact_saved(const struct rescue_notice *n,
 			  const struct rescue_stream *s, size_t nr,
-			  double room_ms)
+			  double available_ms)
 {
 	double best = 0;
 	unsigned mask;
@@ -196,10 +195,10 @@
 			if (!(mask >> i & 1))
 				continue;
 			ms += n->move_fixed_ms +
-			      s[i].kv_mb / n->mb_per_s * 1000;
-			saved += s[i].prompt_tokens + s[i].done_tokens;
+			      s[i].kv_mb / n->kv_mb_per_s * 1000;
+			saved += s[i].prompt_tokens + s[i].generated_tokens;
 		}
-		if (ms <= room_ms && saved > best)
+		if (ms <= available_ms && saved > best)
 			best = saved;
 	}
 	return best;
@@ -209,8 +208,8 @@
 {
 	const struct rescue_notice n = { .now_ms = 0,
 					 .end_ms = 2000,
-					 .between_tokens_ms = 36,
-					 .mb_per_s = 400,
+					 .inter_token_ms = 36,
+					 .kv_mb_per_s = 400,
 					 .move_fixed_ms = 30 };
 	double sum = 0, sum_exact = 0;
 	struct rnd rnd;
@@ -225,10 +224,11 @@
 		for (i = 0; i < 10; i++) {
 			s[i].tag = i;
 			s[i].prompt_tokens = 50 + rnd_below(&rnd, 3000);
-			s[i].done_tokens = rnd_below(&rnd, 500);
-			s[i].left_tokens = 100;
+			s[i].generated_tokens = rnd_below(&rnd, 500);
+			s[i].max_remaining_tokens = 100;
 			s[i].kv_mb =
-				(s[i].prompt_tokens + s[i].done_tokens) * 0.125;
+				(s[i].prompt_tokens + s[i].generated_tokens) *
+				0.125;
 			s[i].weight = 1;
 			s[i].deadline_ms = rnd_below(&rnd, 1000);
 		}
@@ -237,12 +237,13 @@
 		for (i = 0; i < 10; i++) {
 			if (s[i].choice != RESCUE_MOVE)
 				continue;
-			saved += s[i].prompt_tokens + s[i].done_tokens;
+			saved += s[i].prompt_tokens + s[i].generated_tokens;
 			ms += 30 + s[i].kv_mb / 400 * 1000;
 		}
 		CU_ASSERT(ms <= 1800.001);
 		exact = exact_saved(&n, copy, 10, 1800);
-		/* Greedy by density is never under half; here the worst. */
+		/* Greedy by density saves at least half of the optimum in
+		 * every case; 0.7 is the bound for the worst case here. */
 		CU_ASSERT(saved >= exact * 0.7);
 		sum += saved;
 		sum_exact += exact;
@@ -254,11 +255,11 @@
 {
 	struct rescue_notice n = { .now_ms = 0,
 				   .end_ms = 2000,
-				   .between_tokens_ms = 20 };
+				   .inter_token_ms = 20 };
 	struct rescue_stream s[2] = {
-		{ .tag = 1, .left_tokens = 10, .prompt_tokens = 100 },
+		{ .tag = 1, .max_remaining_tokens = 10, .prompt_tokens = 100 },
 		{ .tag = 2,
-		  .left_tokens = 1000,
+		  .max_remaining_tokens = 1000,
 		  .prompt_tokens = 100,
 		  .kv_mb = 10,
 		  .weight = 1 },
@@ -267,13 +268,13 @@
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].tag == 1 ? s[0].choice : s[1].choice,
 			RESCUE_FINISH);
-	/* No KV transfer there: continue elsewhere. */
+	/* Without KV transfer the stream continues elsewhere. */
 	CU_ASSERT_EQUAL(s[0].tag == 2 ? s[0].choice : s[1].choice,
 			RESCUE_CONTINUE);
-	n.mb_per_s = 400;
+	n.kv_mb_per_s = 400;
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].tag == 2 ? s[0].choice : s[1].choice, RESCUE_MOVE);
-	/* A notice for an instance already gone: nothing can be moved. */
+	/* The instance is already gone: nothing can be moved. */
 	n.end_ms = 0;
 	rescue_plan(&n, s, 2);
 	CU_ASSERT_EQUAL(s[0].choice, RESCUE_CONTINUE);
@@ -283,29 +284,29 @@
 /* ---- Duties ---- */
 
 /*
- * Symptom: two planners give orders at once.
- * Events: the answer to a renewal takes 3 of the lease's 4 seconds.
- * Cause: counted from the answer, the holder would go on for 3 s too long.
+ * Two planners must not send commands at the same time. If the response to a
+ * lease request takes 3 s of a 4 s lease and the lease were counted from the
+ * response, the holder would act for 3 s after the lease had expired.
  */
 static void lease_counts_from_the_request(void)
 {
 	struct duty d;
 
 	duty_init(&d, 4000);
-	CU_ASSERT_EQUAL(duty_tick(&d, 10000), DUTY_TAKE);
-	duty_taken(&d, 5, true, 13000);
+	CU_ASSERT_EQUAL(duty_tick(&d, 10000), DUTY_ACQUIRE);
+	duty_acquired(&d, 5, true, 13000);
 	CU_ASSERT(duty_may_act(&d, 13000));
 	CU_ASSERT(duty_may_act(&d, 13599));
 	CU_ASSERT(!duty_may_act(&d, 13600));
 }
 
-static void unfenced_waits_out(void)
+static void unfenced_commands_wait_for_old_lease(void)
 {
 	struct duty d;
 
 	duty_init(&d, 4000);
 	duty_tick(&d, 10000);
-	duty_taken(&d, 6, false, 10010);
+	duty_acquired(&d, 6, false, 10010);
 	CU_ASSERT(duty_may_act(&d, 10010));
 	CU_ASSERT(!duty_may_act_unfenced(&d, 10010));
 	CU_ASSERT_EQUAL(duty_tick(&d, 11400), DUTY_RENEW);
@@ -316,16 +317,16 @@
 	CU_ASSERT(duty_may_act_unfenced(&d, 14410));
 }
 
-static void failed_renewals(void)
+static void failed_renewals_are_retried(void)
 {
 	struct duty d;
 
 	duty_init(&d, 4000);
 	duty_tick(&d, 0);
-	duty_taken(&d, 6, true, 0);
+	duty_acquired(&d, 6, true, 0);
 	CU_ASSERT_EQUAL(duty_tick(&d, 1400), DUTY_RENEW);
 	duty_failed(&d, 2000);
-	/* Tried again while the lease may still stand, then given up. */
+	/* Retried while the lease may still be valid, then given up. */
 	CU_ASSERT_EQUAL(duty_tick(&d, 2400), DUTY_RENEW);
 	duty_failed(&d, 3000);
 	duty_tick(&d, 3600);
@@ -336,16 +337,17 @@
 }
 
 static const struct unit_test tests[] = {
-	{ "plan like brute force", plan_like_brute_force },
+	{ "plan matches brute force", plan_matches_brute_force },
 	{ "prices do not flap", prices_do_not_flap },
 	{ "refused starts back off", refused_starts_back_off },
-	{ "retire only what is spare", retire_only_what_is_spare },
-	{ "best effort when it cannot be met", best_effort },
+	{ "retire only spare instances", retire_only_spare_instances },
+	{ "best effort when infeasible", best_effort_when_infeasible },
 	{ "rescue near the exact knapsack", rescue_near_exact },
 	{ "rescue choices", rescue_choices },
 	{ "a lease counts from the request", lease_counts_from_the_request },
-	{ "unfenced endpoints wait out", unfenced_waits_out },
-	{ "failed renewals", failed_renewals },
+	{ "unfenced commands wait for the old lease",
+	  unfenced_commands_wait_for_old_lease },
+	{ "failed renewals are retried", failed_renewals_are_retried },
 };
 
 UNIT_MAIN("place", tests)
