--- a/lib/platform/cloud.h
+++ b/lib/platform/cloud.h
@@ -70,9 +70,10 @@
 	/* Reads all instances. The caller frees `out->rows`. */
 	int (*list)(struct cloud *c, struct cloud_list *out, struct err *e);
 	/*
-	 * Reads up to `max` notices with a sequence number above `*seq` and
-	 * sets `*seq` to the last one read. Long poll: the platform may hold
-	 * the call until there is a notice or its wait limit has passed.
+	 * Reads up to `max` notices with a sequence number above `*seq` into
+	 * `out` and their number into `*n`. Sets `*seq` to the sequence number
+	 * of the last notice read. Long poll: the platform may hold the call
+	 * until it has a notice or the poll's wait time has passed.
 	 */
 	int (*notices)(struct cloud *c, int64_t *seq, struct cloud_notice *out,
 		       size_t max, size_t *n, struct err *e);
@@ -97,7 +98,7 @@
 	void (*free)(struct cloud *c);
 };
 
-/* Base of every platform client; its first member. */
+/* Base of a platform client: the first member of the client's struct. */
 struct cloud {
 	const struct cloud_vtable *vt;
 };
@@ -113,10 +114,14 @@
 struct buf;
 /*
  * Appends the JSON object of one instance to `out`. The platform's list and
- * the messages between peers use the same form.
+ * the messages between peers use the same form. Omits `end_in_ms`; does not
+ * escape `address` and `kind`.
  */
 void cloud_print_instance(const struct cloud_instance *in, struct buf *out);
-/* Reads such an object; missing members get defaults. */
+/*
+ * Reads such an object. Missing strings become "", a missing `end_in_ms` -1,
+ * and a missing or unknown state CLOUD_GONE.
+ */
 void cloud_read_instance(struct json_object *o, struct cloud_instance *in);
 /* Returns the state's name in JSON; a static string. */
 const char *cloud_state_name(enum cloud_state s);
--- a/lib/platform/engine.h
+++ b/lib/platform/engine.h
@@ -38,13 +38,13 @@
 
 /* One decoded event of a stream. */
 struct engine_event {
-	bool done; /* the end marker "[DONE]" */
-	bool is_token;
+	bool done;	 /* the end marker "[DONE]" */
+	bool is_token;	 /* `text` holds a token */
 	uint32_t offset; /* of the token in the stream, in tokens */
 	char text[4096];
 	char finish[32]; /* finish reason, "" if none */
 	char model[ENGINE_NAME_MAX];
-	char version[ENGINE_NAME_MAX]; /* system_fingerprint */
+	char version[ENGINE_NAME_MAX]; /* member system_fingerprint */
 };
 
 /*
@@ -67,15 +67,18 @@
 	bool leaving;	     /* gets no new requests */
 	int64_t running;     /* runs in the batch */
 	int64_t waiting;     /* runs queued */
-	int64_t slots;	     /* most runs at once */
-	int64_t load_age_ms; /* age of running and waiting */
+	int64_t slots;	     /* maximum number of concurrent runs */
+	int64_t load_age_ms; /* age of `running` and `waiting` */
 	int64_t cache_seq;   /* number of the last cache event published */
 	int64_t cache_first; /* number of the oldest event in the report */
 	int64_t streams;     /* open runs, which share the bandwidth */
 	int64_t mb_cached;   /* weights on the instance, in megabytes */
 };
 
-/* Decodes a report of `len` bytes. Returns 0, or -1 if it isn't an object. */
+/*
+ * Decodes a report of `len` bytes. Missing members become "", 0 or false, but
+ * `slots` 1. Returns 0, or -1 if the report is not a JSON object.
+ */
 int engine_read_state(const char *text, size_t len, struct engine_state *out);
 
 /*
@@ -91,7 +94,7 @@
 	uint64_t fence; /* fencing token */
 };
 
-/* Appends the JSON body of an order to `out`. */
+/* Appends the JSON body of an order to `out`. Does not escape the names. */
 void engine_print_order(const struct engine_order *o, struct buf *out);
 
 /*
--- a/lib/platform/kv.h
+++ b/lib/platform/kv.h
@@ -66,15 +66,16 @@
  */
 struct kv_vtable {
 	/*
-	 * Reads all pairs with the prefix `key`, or, if `prefix` is false, only
-	 * the pair of `key`.
+	 * If `prefix` is true, reads all pairs whose keys begin with `key`,
+	 * which must not be empty; otherwise only the pair of `key`. A missing
+	 * key is no error: `out->nr` is 0.
 	 */
 	int (*range)(struct kv *kv, const char *key, bool prefix,
 		     struct kv_pairs *out, struct err *e);
 	/*
 	 * Applies all puts atomically if all compares hold. `*succeeded` is
 	 * false if one didn't hold. Returns 0 only if the reply arrived.
-	 * The store's revision goes into `*revision`, unless it is NULL.
+	 * Stores the store's revision in `*revision` unless `revision` is NULL.
 	 */
 	int (*txn)(struct kv *kv, const struct kv_compare *cmp, size_t nr_cmp,
 		   const struct kv_put *puts, size_t nr_puts, bool *succeeded,
@@ -88,10 +89,11 @@
 	int (*lease_revoke)(struct kv *kv, int64_t id, struct err *e);
 	/*
 	 * Calls `fn` with each change under a prefix from revision `from` on,
-	 * until `fn` returns false or the stream ends. Also calls `fn` with
-	 * NULL from time to time, so that it can stop an idle watch. Returns 0
-	 * also when the time limit ends the stream; the caller then starts
-	 * the watch again.
+	 * until `fn` returns false, the stream ends or the time limit passes.
+	 * Also calls `fn` with NULL from time to time (kv_etcd.c: after each
+	 * message from the service), so that it can stop the watch without a
+	 * change. Returns 0 also at the time limit; the caller then starts the
+	 * watch again.
 	 */
 	int (*watch)(struct kv *kv, const char *prefix, int64_t from,
 		     bool (*fn)(const struct kv_event *ev, void *arg),
@@ -100,7 +102,7 @@
 	void (*free)(struct kv *kv);
 };
 
-/* Base of every client; its first member. */
+/* Base of a client: the first member of the client's struct. */
 struct kv {
 	const struct kv_vtable *vt;
 };
--- a/lib/platform/kv_etcd.c
+++ b/lib/platform/kv_etcd.c
@@ -9,10 +9,13 @@
 #include "base/jsn.h"
 #include "net/hcl.h"
 
-/* Time limit of one call. Replies take milliseconds; longer is an outage. */
+/*
+ * Time limit of a call other than a watch. The service normally replies within
+ * milliseconds, so a call that takes longer means an outage.
+ */
 #define CALL_MS 2000
 
-/* Interval for checks of an idle watch; 8 of them limit one watch call. */
+/* Unit of the time limit of one watch call, which is 8 of these. */
 #define WATCH_SLICE_MS 1000
 
 struct kv_etcd {
@@ -45,6 +48,7 @@
 	buf_str(b, "\"");
 }
 
+/* Returns the decoded bytes, "" if `s` is invalid. The caller frees them. */
 static char *from_base64(const char *s, size_t *len)
 {
 	const size_t n = strlen(s);
@@ -218,7 +222,8 @@
 	r = jsn_get(o, "result");
 	/* For an expired or revoked lease, TTL is 0 or missing. */
 	if (jsn_int(r ? r : o, "TTL", 0) <= 0)
-		return err_set(e, ERR_NOT_FOUND, "lease %lld is gone",
+		return err_set(e, ERR_NOT_FOUND,
+			       "lease %lld has expired or was revoked",
 			       (long long)id);
 	return 0;
 }
