--- a/lib/platform/kv.h
+++ b/lib/platform/kv.h
@@ -75,7 +75,7 @@
 	/*
 	 * Applies all puts atomically if all compares hold. `*succeeded` is
 	 * false if one didn't hold. Returns 0 only if the reply arrived.
-	 * Stores the store's revision in `*revision` unless `revision` is NULL.
+	 * Sets `*revision` to the store's revision unless `revision` is NULL.
 	 */
 	int (*txn)(struct kv *kv, const struct kv_compare *cmp, size_t nr_cmp,
 		   const struct kv_put *puts, size_t nr_puts, bool *succeeded,
