--- a/lib/control/control.h
+++ b/lib/control/control.h
@@ -1,11 +1,13 @@
 /*
  * control (prefix ctl_, for "control"): control-plane tasks, run in a process
- * of its own beside each entry and off the request path.
+ * of its own beside each entry (the process that receives client requests),
+ * off the request path.
  *
  *   watch     reads the documents that operators accepted, and the membership
  *             views, from the key-value service
  *   list      polls the platform's instance list and its reclaim notices
- *   members   writes membership views of the entries; one lease for the fleet
+ *   members   writes membership views of the entries; one lease for the fleet,
+ *             so one process at a time does it
  *   place     starts and stops instances and sends orders to engines; one
  *             lease per service
  *
--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -25,12 +25,12 @@
 /* Services that one process can place; further ones are ignored. */
 #define CTL_MAX_SERVICES 64
 
-/* A duty, and the key and lease in the key-value service that assign it to
- * one holder. */
+/* A duty is a task that one process of the fleet does at a time. The key and
+ * the lease in the key-value service assign it to its holder. */
 struct ctl_duty {
 	struct duty duty;
 	char key[KV_KEY_MAX];
-	int64_t lease; /* lease id; 0: none */
+	int64_t lease; /* lease ID; 0: none */
 };
 
 struct ctl_placement;
@@ -38,7 +38,7 @@
 struct control {
 	struct set set;
 	const struct clk *clk;
-	char mac[17];	 /* authenticates calls to the local entry */
+	char mac[17];	 /* hex; authenticates calls to the local entry */
 	uint64_t boot;	 /* wall clock at the start of the process, ms */
 	char holder[96]; /* value of duty keys: NAME#RANDOM */
 
@@ -47,7 +47,8 @@
 	struct kv *kv;
 	struct cloud *cloud;
 	atomic_bool stopping;
-	atomic_llong kv_last_reply_ms; /* last reply of the key-value service */
+	/* Last reply of the key-value service, on the monotonic clock. */
+	atomic_llong kv_last_reply_ms;
 
 	struct ctl_duty members; /* writing membership views */
 	struct ctl_placement *placements[CTL_MAX_SERVICES];
@@ -57,6 +58,7 @@
 	pthread_t member_thread, place_thread;
 };
 
+/* Monotonic clock, in milliseconds. */
 static inline int64_t ctl_now(const struct control *c)
 {
 	return clk_ms(c->clk);
@@ -64,7 +66,8 @@
 
 /*
  * Publishes one item to the local entry, which gossips it.
- * @rev    : revision of the item.
+ * @name   : name of the item, "view/7" for example.
+ * @rev    : revision of the item; entries keep the highest one.
  * @body   : JSON text.
  * @ttl_ms : lifetime in milliseconds; 0: unlimited.
  * @return : true if the entry replied.
@@ -80,7 +83,8 @@
 /* Initializes a duty without a lease. `name` is the suffix of its key. */
 void ctl_duty_init(struct control *c, struct ctl_duty *d, const char *name);
 
-/* Acquires or renews the duty's lease if that is due. */
+/* Acquires or renews the duty's lease if that is due; blocks during the calls
+ * to the key-value service. */
 void ctl_duty_step(struct control *c, struct ctl_duty *d);
 
 /* Revokes the duty's lease, if there is one. */
--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -47,8 +47,14 @@
 	return view_create((last ? last->number : 0) + 1, m, kept);
 }
 
-/* Returns the newest view: the one in the key-value service, or a newer one
- * that the local entry has. NULL with `*ok` set: there is no view yet. */
+/*
+ * Returns the newest view: the one in the key-value service, or a newer one
+ * that the local entry has. The caller frees it.
+ * @mod_rev : set to the key's modification revision, or 0 without a key;
+ *            write_view() writes only if it is still the same.
+ * @ok      : set to false if the key-value service couldn't be read. NULL with
+ *            `*ok` true: there is no view yet.
+ */
 static struct view *newest_view(struct control *c, int64_t *mod_rev, bool *ok)
 {
 	KV_PAIRS_AUTO p = { 0 };
@@ -91,7 +97,8 @@
 	view_print(v, &body);
 	put.value = body.data;
 	if (c->kv->vt->txn(c->kv, &cmp, 1, &put, 1, &done, NULL, &e))
-		/* The write may have succeeded; the next round reads it. */
+		/* The write may have succeeded; the next round reads the key
+		 * again. */
 		log_line(LOG_LEVEL_WARN, "member", "view=%llu write=%s",
 			 (unsigned long long)v->number, e.text);
 	else
@@ -100,6 +107,8 @@
 			 done ? "written" : "lost-race");
 }
 
+/* Runs one round: writes a view that differs from the newest one, once it has
+ * stayed the same for SETTLE_MS. */
 static void propose_view(struct control *c, struct view_proposal *p)
 {
 	struct view *last, *want;
@@ -145,7 +154,8 @@
 	return differs;
 }
 
-/* Interval of the check whether this process is a candidate. */
+/* Interval of the check whether this process is a candidate. Calls in between
+ * return false, so a candidate tries for the lease once per interval. */
 #define CANDIDATE_CHECK_MS 2000
 
 static bool is_candidate(struct control *c, int64_t now, int64_t *last_check_ms)
@@ -159,8 +169,8 @@
 	return o && ctl_is_candidate(c, o, "members");
 }
 
-/* After a change, every tick runs a round for this time, until the view has
- * settled. */
+/* For this time after a change, every tick runs a round, so that the new view
+ * settles and is written. */
 #define ACTIVE_MS 5000
 
 /* Otherwise rounds run at this interval, in case a write was lost without an
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -44,13 +44,14 @@
 struct ctl_placement {
 	struct ctl_duty duty;
 	char service[DOC_NAME_MAX];
+	/* Per model of the document, the same offers in the same order. */
 	struct plan_offer offers[DOC_MAX_MODELS][PLAN_MAX_OFFERS];
 	size_t nr_offers;
 	int64_t offers_read_ms;
 	int64_t last_round_ms;
 	double weights_mb_per_s; /* of the weight store; -1: unknown */
 	char start_token[96]; /* idempotency token of a start without a reply */
-	size_t token_offer, token_model;
+	size_t token_offer, token_model; /* indexes into `offers` */
 	uint64_t next_token;
 };
 
@@ -205,7 +206,8 @@
 		 why);
 }
 
-/* If the reply is lost, the start is retried with the same idempotency token,
+/* Starts an instance on offer `o` of model `m`. If the reply is lost, the start
+ * is retried with the same idempotency token,
  * which has no effect if the first call succeeded. */
 static void start_instance(struct control *c, struct ctl_placement *p,
 			   const struct doc_model *model, size_t m,
@@ -241,8 +243,8 @@
 	}
 }
 
-/* Stops the instance with the fewest running requests; instances that aren't
- * ready come first. */
+/* Stops one instance of offer `o`: the one with the fewest running requests,
+ * and one that isn't ready before any that is. */
 static void stop_instance(struct control *c, struct ctl_placement *p,
 			  const struct doc_model *model, struct plan_offer *o,
 			  const struct observed_instance *s, size_t n)
@@ -268,6 +270,7 @@
 	log_plan(p, model, o, "stop", pick->in.id);
 }
 
+/* Plans one model and carries out one step at most: a start or a stop. */
 static void plan_model(struct control *c, struct ctl_placement *p,
 		       const struct doc *d, size_t m,
 		       const struct observed_instance *s, size_t n)
@@ -386,6 +389,7 @@
 
 /* ---- Rounds ---- */
 
+/* Reads the weight store's rate in MB/s; -1 if the call fails. */
 static void read_weight_rate(struct control *c, struct ctl_placement *p)
 {
 	struct err e = ERR_INIT;
@@ -457,6 +461,8 @@
 	return nr_ranked_higher < CANDIDATES_PER_DUTY;
 }
 
+/* Runs a placement round of the service that `item`, a document, describes, if
+ * this process holds the duty and a round is due. */
 static void run_service(struct control *c, struct json_object *item,
 			struct json_object *members)
 {
--- a/lib/control/ctl_watch.c
+++ b/lib/control/ctl_watch.c
@@ -26,8 +26,8 @@
 
 /*
  * Several watchers receive the same notice at slightly different times. The
- * end time is rounded down to this unit and also serves as the item's revision,
- * so that one revision never has two different bodies.
+ * instance's end time is rounded down to a multiple of this, and its quotient
+ * is the item's revision, so that one revision never has two different bodies.
  */
 #define NOTICE_ROUND_MS 100
 
@@ -60,7 +60,7 @@
 struct watch_state {
 	struct control *c;
 	int64_t next_rev;   /* first revision not read yet */
-	int64_t recheck_ms; /* end of the watch, to check is_watcher() again */
+	int64_t recheck_ms; /* when to end the watch and call is_watcher() */
 };
 
 /*
@@ -68,6 +68,10 @@
  * force, which means that it was restored from an old backup. An accepted
  * document must not revert, so the one in force is written back and an alarm
  * is raised.
+ * @p        : the stored document.
+ * @in_force : text of the document in force.
+ * @serial   : serial of the document in force.
+ * @shown    : serial of the stored document.
  */
 static void restore_value(struct control *c, const struct kv_pair *p,
 			  const char *in_force, int64_t serial, int64_t shown)
@@ -178,6 +182,7 @@
 			read = false;
 			clk_sleep_ms(RETRY_MS);
 		}
+		/* Reports to the entry that the key-value service replies. */
 		if (ctl_now(c) - atomic_load(&c->kv_last_reply_ms) < 3000)
 			json_object_put(ctl_query_entry(c, "kv-up"));
 	}
@@ -186,6 +191,12 @@
 
 /* ---- Instances ---- */
 
+/*
+ * Publishes an instance's item, unless `known` has the same body or a revision
+ * that isn't lower.
+ * @version : version of the instance list; the item's revision.
+ * @known   : the local entry's items of instances; NULL: publish always.
+ */
 static void publish_instance(struct control *c, const struct cloud_instance *in,
 			     int64_t version, struct json_object *known)
 {
