--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -76,7 +76,7 @@
 		      const char *body, int64_t ttl_ms);
 
 /* Queries a status of the local entry: "members", "items PREFIX" or
- * "item NAME", for example.
+ * "item NAME", for example. "kv-up" reports that the key-value service replies.
  * @return : a new JSON object that the caller releases, or NULL on error. */
 struct json_object *ctl_query_entry(struct control *c, const char *what);
 
@@ -91,8 +91,8 @@
 void ctl_duty_release(struct control *c, struct ctl_duty *d);
 
 /* True if this process is one of the few candidates for a duty, which are
- * selected by rendezvous hashing. Otherwise every process of the fleet would
- * read the key of each lease.
+ * selected by rendezvous hashing. Without the selection, every process of the
+ * fleet would read the key of each lease.
  * @members : reply to the status query "members". */
 bool ctl_is_candidate(struct control *c, struct json_object *members,
 		      const char *duty);
--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -49,7 +49,7 @@
 
 /*
  * Returns the newest view: the one in the key-value service, or a newer one
- * that the local entry has. The caller frees it.
+ * that the local entry has. To be freed with view_free().
  * @mod_rev : set to the key's modification revision, or 0 without a key;
  *            write_view() writes only if it is still the same.
  * @ok      : set to false if the key-value service couldn't be read. NULL with
@@ -155,7 +155,7 @@
 }
 
 /* Interval of the check whether this process is a candidate. Calls in between
- * return false, so a candidate tries for the lease once per interval. */
+ * return false, so a candidate tries for the lease at most once per interval. */
 #define CANDIDATE_CHECK_MS 2000
 
 static bool is_candidate(struct control *c, int64_t now, int64_t *last_check_ms)
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -206,9 +206,9 @@
 		 why);
 }
 
-/* Starts an instance on offer `o` of model `m`. If the reply is lost, the start
- * is retried with the same idempotency token,
- * which has no effect if the first call succeeded. */
+/* Starts an instance on offer `o` for model `m`. If the reply is lost, the next
+ * round retries the start with the same idempotency token; the retry has no
+ * effect if the first call succeeded. */
 static void start_instance(struct control *c, struct ctl_placement *p,
 			   const struct doc_model *model, size_t m,
 			   struct plan_offer *o)
