--- a/lib/control/ctl_members.c
+++ b/lib/control/ctl_members.c
@@ -155,7 +155,8 @@
 }
 
 /* Interval of the check whether this process is a candidate. Calls in between
- * return false, so a candidate tries for the lease at most once per interval. */
+ * return false, so a candidate tries for the lease at most once per interval.
+ */
 #define CANDIDATE_CHECK_MS 2000
 
 static bool is_candidate(struct control *c, int64_t now, int64_t *last_check_ms)
--- a/lib/control/ctl_place.c
+++ b/lib/control/ctl_place.c
@@ -207,8 +207,8 @@
 }
 
 /* Starts an instance on offer `o` for model `m`. If the reply is lost, the next
- * round retries the start with the same idempotency token; the retry has no
- * effect if the first call succeeded. */
+ * start of the same offer and model passes the same idempotency token, so it
+ * has no effect if the first call succeeded. */
 static void start_instance(struct control *c, struct ctl_placement *p,
 			   const struct doc_model *model, size_t m,
 			   struct plan_offer *o)
