--- a/lib/place/duty.c
+++ b/lib/place/duty.c
@@ -60,8 +60,8 @@
 	extend(d);
 	/*
 	 * The previous holder counts its lease from before its request, so it
-	 * stops before the service deletes the key. The wait covers commands
-	 * that were in flight at that time.
+	 * stops before the key-value service deletes the key. The wait covers
+	 * commands that were in flight at that time.
 	 */
 	d->unfenced_from_ms = fresh ? now_ms
 				    : now_ms + d->lease_ms + d->margin_ms;
--- a/lib/place/duty.h
+++ b/lib/place/duty.h
@@ -4,10 +4,10 @@
  * holders. No I/O: the caller makes the calls that the actions name.
  *
  * Lease time is counted on the monotonic clock from before the request was
- * sent, and the holder stops a safety margin early. A holder that was paused
- * may still send a command late: endpoints that check the fencing token refuse
- * it, and for endpoints that ignore the token a new holder first waits until
- * the previous lease has expired.
+ * sent, and the holder stops acting a safety margin before the lease expires.
+ * A holder that was paused may still send a command late. Endpoints that check
+ * the fencing token refuse it. For endpoints that ignore the token, a new
+ * holder first waits until the previous lease has expired.
  */
 #ifndef DUTY_H
 #define DUTY_H
@@ -62,7 +62,8 @@
 /* DUTY_ACQUIRE failed because another process holds the duty. */
 void duty_refused(struct duty *d, int64_t now_ms);
 
-/* DUTY_RENEW succeeded. */
+/* DUTY_RENEW succeeded. The state becomes idle if `now_ms` is valid_until_ms or
+ * later. */
 void duty_renewed(struct duty *d, int64_t now_ms);
 
 /*
--- a/lib/place/plan.c
+++ b/lib/place/plan.c
@@ -65,7 +65,10 @@
 	double zone_load[PLAN_MAX_OFFERS]; /* capacity in each zone */
 };
 
-/* An offer is usable if it has instances or may launch new ones. */
+/*
+ * An offer is usable if the need allows its market and it has instances or may
+ * launch new ones.
+ */
 static bool is_offer_usable(const struct plan_need *need,
 			    const struct plan_offer *o, int64_t now_ms)
 {
@@ -130,6 +133,7 @@
 	qsort(w->units, w->nr_units, sizeof(*w->units), compare_unit_cost);
 }
 
+/* Units of current instances are recognized by their discounted cost. */
 static bool is_running_unit(const struct solver *w, const struct unit *u)
 {
 	return u->cost < unit_cost(w->need, &w->offers[u->offer]) - 1e-12;
@@ -197,8 +201,8 @@
 
 /*
  * If no zone exceeds capacity m, losing a zone loses at most m, so a total of
- * demand + m suffices. Tries every m that a zone can reach, in steps of the
- * largest instance capacity, and keeps the cheapest result.
+ * demand + m suffices. Tries m in steps of the largest instance capacity, up to
+ * the most that a zone can usefully hold, and keeps the cheapest result.
  */
 static bool solve_with_loss(struct solver *w, double demand)
 {
--- a/lib/place/plan.h
+++ b/lib/place/plan.h
@@ -3,10 +3,10 @@
  * offer a model should have. No I/O.
  *
  * An offer is a (zone, class, market) combination at a price. The plan is the
- * cheapest mix whose capacity covers the demand, if survive_zone_loss is set
- * even after the loss of any one zone. Offers in use count as slightly cheaper
- * than they are, so that a change of price causes a move only if it pays for
- * the move; otherwise price changes would make the plan flap.
+ * cheapest mix whose capacity covers the demand; with survive_zone_loss, it
+ * covers the demand even after the loss of any one zone. Current instances are
+ * priced at a discount (incumbent_discount), so that a price change causes a
+ * move only if the saving pays for it; otherwise the plan would flap.
  */
 #ifndef PLAN_H
 #define PLAN_H
@@ -15,15 +15,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define PLAN_MAX_OFFERS 128 /* offers per model; plan_solve ignores the rest */
+#define PLAN_MAX_OFFERS 128 /* offers per model; plan_solve wants 0 of others */
 #define PLAN_NAME_MAX 48    /* bytes of a name, with the terminating NUL */
 
-/* One offer, its launch backoff and its instance counts. */
+/* One offer, its launch backoff and its instance counts. Times are in
+ * milliseconds on the clock of the `now_ms` parameters. */
 struct plan_offer {
 	char zone[PLAN_NAME_MAX];
 	char class_name[PLAN_NAME_MAX];
-	bool reclaimable; /* spot market; else on-demand */
-	double price_per_h;
+	bool reclaimable;	  /* spot market; else on-demand */
+	double price_per_h;	  /* of one instance */
 	double capacity;	  /* tokens per second of one replica */
 	double reclaims_per_h;	  /* expected, of one instance */
 	int64_t blocked_until_ms; /* no launches before this time */
@@ -54,7 +55,7 @@
 /*
  * Computes the cheapest plan and sets `want` of each of the `nr` offers. If the
  * need cannot be met, returns `feasible` as false and plans as much of the
- * demand as can be had, ignoring min_replicas and survive_zone_loss.
+ * demand as is available, ignoring min_replicas and survive_zone_loss.
  */
 struct plan_result plan_solve(const struct plan_need *need,
 			      struct plan_offer *offers, size_t nr,
--- a/lib/place/rescue.h
+++ b/lib/place/rescue.h
@@ -1,10 +1,10 @@
 /*
  * rescue: the prefix is the word itself. Decides how each stream at an
- * endpoint under reclaim notice goes on. No I/O.
+ * endpoint under reclaim notice is continued. No I/O.
  *
- * All streams that this entry has at the endpoint are decided together: each
- * finishes in place, moves with its KV cache, or continues elsewhere from the
- * prompt and the tokens generated so far. Choosing the moves is a knapsack
+ * All streams that this entry process has at the endpoint are decided together:
+ * each finishes in place, moves with its KV cache, or continues elsewhere from
+ * the prompt and the tokens generated so far. Choosing the moves is a knapsack
  * problem: the notice time and the transfer bandwidth limit what can be moved,
  * and the value of a move is the tokens that need not be recomputed. Entries
  * share an endpoint's bandwidth in proportion to their streams, as the
@@ -32,7 +32,8 @@
 	int64_t deadline_ms;	       /* earlier ones move first */
 	double weight;		   /* of the account; higher if interactive */
 	enum rescue_choice choice; /* set by rescue_plan */
-	int64_t start_ms;	   /* start of the move; set by rescue_plan */
+	int64_t start_ms;	   /* start of the move, else now_ms; set by
+				      rescue_plan */
 };
 
 struct rescue_notice {
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -1,4 +1,4 @@
-/* Tests plan against brute force, rescue against an exact knapsack, duty. */
+/* Tests plan and rescue against exhaustive reference solvers, and duty. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -130,7 +130,7 @@
 	plan_launch_refused(&o[0], 0);
 	plan_solve(&need, o, 2, 1);
 	s = plan_next(&need, o, 2, 1);
-	/* The next offer is tried at once, not the refused one again. */
+	/* The next step uses another offer, not the refused one. */
 	CU_ASSERT(s.kind == PLAN_LAUNCH && s.offer == 1);
 	plan_launch_refused(&o[0], 0);
 	CU_ASSERT_EQUAL(o[0].backoff_ms, 10000);
@@ -326,7 +326,7 @@
 	duty_acquired(&d, 6, true, 0);
 	CU_ASSERT_EQUAL(duty_tick(&d, 1400), DUTY_RENEW);
 	duty_failed(&d, 2000);
-	/* Retried while the lease may still be valid, then given up. */
+	/* Renewal is retried until valid_until_ms; then the state is idle. */
 	CU_ASSERT_EQUAL(duty_tick(&d, 2400), DUTY_RENEW);
 	duty_failed(&d, 3000);
 	duty_tick(&d, 3600);
