--- a/lib/place/plan.h
+++ b/lib/place/plan.h
@@ -15,7 +15,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define PLAN_MAX_OFFERS 128 /* offers per model; plan_solve wants 0 of others */
+#define PLAN_MAX_OFFERS 128 /* offers per model; others get `want` 0 */
 #define PLAN_NAME_MAX 48    /* bytes of a name, with the terminating NUL */
 
 /* One offer, its launch backoff and its instance counts. Times are in
@@ -56,6 +56,7 @@
  * Computes the cheapest plan and sets `want` of each of the `nr` offers. If the
  * need cannot be met, returns `feasible` as false and plans as much of the
  * demand as is available, ignoring min_replicas and survive_zone_loss.
+ * Aborts if out of memory.
  */
 struct plan_result plan_solve(const struct plan_need *need,
 			      struct plan_offer *offers, size_t nr,
@@ -75,7 +76,8 @@
 /*
  * Returns the next single step from `have` towards `want`. Launches come first.
  * A ready instance is retired only if the ready instances without it still
- * cover the need.
+ * cover the need. Returns PLAN_NONE if no step is possible now. Aborts if out
+ * of memory.
  */
 struct plan_step plan_next(const struct plan_need *need,
 			   const struct plan_offer *offers, size_t nr,
--- a/lib/place/rescue.h
+++ b/lib/place/rescue.h
@@ -49,7 +49,7 @@
 void rescue_plan(const struct rescue_notice *n, struct rescue_stream *s,
 		 size_t nr);
 
-/* Returns the number of tokens that the plan recomputes. */
+/* Returns the number of tokens to recompute under the choices in `s`. */
 double rescue_recomputed(const struct rescue_stream *s, size_t nr);
 
 #endif
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -242,8 +242,9 @@
 		}
 		CU_ASSERT(ms <= 1800.001);
 		exact = exact_saved(&n, copy, 10, 1800);
-		/* Greedy by density saves at least half of the optimum in
-		 * every case; 0.7 is the bound for the worst case here. */
+		/* Density grows with size here, so that greedy selection saves
+		 * at least half of the optimum; 0.7 is the bound for the worst
+		 * of these rounds. */
 		CU_ASSERT(saved >= exact * 0.7);
 		sum += saved;
 		sum_exact += exact;
